--- a/internal/coordination/catalog_write_test.go
+++ b/internal/coordination/catalog_write_test.go
@@ -13,7 +13,7 @@
 // The leader stores the machine types again soon after a write that failed or got no
 // answer. The other controllers once had none for a minute, and so acquired no shard.
 func TestFailedCatalogWriteIsRepeated(t *testing.T) {
-	for name, fate := range map[string]forcedFate{
+	for name, fate := range map[string]forcedOutcome{
 		"refused":              {refused: true},
 		"unanswered, too late": {late: time.Hour},
 	} {
@@ -27,11 +27,11 @@
 				var writes atomic.Int32
 				for i := range w.nodes {
 					w.start(i)
-					link := w.nodes[i].wire
+					link := w.nodes[i].storeLink
 					link.mu.Lock()
-					link.decideFate = func(txn protocol.Txn) forcedFate {
+					link.decideOutcome = func(txn protocol.Txn) forcedOutcome {
 						if txn.Writes[0].Put != storage.CatalogKey || writes.Add(1) > 1 {
-							return forcedFate{}
+							return forcedOutcome{}
 						}
 						return fate
 					}
--- a/internal/coordination/cut_meetings_test.go
+++ b/internal/coordination/cut_meetings_test.go
@@ -7,40 +7,40 @@
 	"time"
 )
 
-// cutMeeting is a fault that meets a cut between zones from 60 s to 120 s.
-type cutMeeting struct {
+// cutOverlap is a fault that meets a cut between zones from 60 s to 120 s.
+type cutOverlap struct {
 	name  string
 	fault fault
 }
 
-var cutMeetings = []cutMeeting{
+var cutOverlaps = []cutOverlap{
 	{"a slow store", fault{at: 58 * sec, kind: storeSlow, duration: 20 * sec}},
 	{"late writes", fault{at: 50 * sec, kind: txnsLate, share: 0.4, duration: 60 * sec}},
 	{"lost answers of the store", fault{at: 50 * sec, kind: txnAnswersLost, share: 0.4, duration: 60 * sec}},
 	{"a second cut", fault{at: 124 * sec, kind: zonesSeparated, duration: 24 * sec}},
 	{"changes of leader", fault{at: 60 * sec, kind: leaderChanges, count: 4, duration: 40 * sec}},
-	{"a holder that has just ended", fault{at: 59500 * time.Millisecond, kind: controllerEnds, target: theBusiest, duration: 6 * sec}},
+	{"a holder that has just ended", fault{at: 59500 * time.Millisecond, kind: controllerEnds, target: targetBusiest, duration: 6 * sec}},
 	{"machines that die", fault{at: 65 * sec, kind: machinesDie, count: 2}},
-	{"a proxy that stands still", fault{at: 66 * sec, kind: controllerPauses, target: theRest, duration: 6 * sec}},
+	{"a proxy that stands still", fault{at: 66 * sec, kind: controllerPauses, target: targetNonLeaders, duration: 6 * sec}},
 }
 
-// allCutMeetingSeeds is how many seeds -all plays of each; CI plays one.
-const allCutMeetingSeeds = 40
+// allCutOverlapSeeds is how many seeds -all plays of each; CI plays one.
+const allCutOverlapSeeds = 40
 
 // Guards against tasks dropped by the end of a lease where a cut between zones meets
 // another fault.
 func TestCutMeetsAnotherFault(t *testing.T) {
 	seeds := uint64(1)
 	if *all {
-		seeds = allCutMeetingSeeds
+		seeds = allCutOverlapSeeds
 	}
-	for _, meeting := range cutMeetings {
+	for _, meeting := range cutOverlaps {
 		t.Run(meeting.name, func(t *testing.T) {
 			t.Parallel()
 			for seed := uint64(1); seed <= seeds; seed++ {
 				w := meeting.play(t, seed)
 				w.check(t)
-				if lost := keptLeases(w); lost != "" {
+				if lost := leaseExpiryViolation(w); lost != "" {
 					t.Errorf("seed %d: %s\n%s", seed, lost, strings.Join(w.leaseEnds, "\n"))
 				}
 			}
@@ -49,7 +49,7 @@
 }
 
 // play plays the cut and the fault that meets it; long jobs run in both zones.
-func (m cutMeeting) play(t *testing.T, seed uint64) *world {
+func (m cutOverlap) play(t *testing.T, seed uint64) *world {
 	var w *world
 	synctest.Test(t, func(t *testing.T) {
 		w = newWorld(seed, nil)
--- a/internal/coordination/delegation_delay_order_test.go
+++ b/internal/coordination/delegation_delay_order_test.go
@@ -102,11 +102,11 @@
 
 // play plays the case with a seed: long jobs run in both zones, and short ones cause
 // the other writes. Nothing is lost by chance.
-func (c delayCase) play(t *testing.T, seed uint64) *delayOrder {
+func (c delayCase) play(t *testing.T, seed uint64) *delayCaseRun {
 	if len(c.cuts) == 0 {
 		c.cuts = []fault{cutAt(60*sec, 60*sec)}
 	}
-	o := &delayOrder{delayCase: &c, attempts: map[string]int{}, sent: map[string]bool{}, forced: map[writeKind]int{}, inTheWay: map[string]int{}}
+	o := &delayCaseRun{delayCase: &c, attempts: map[string]int{}, sent: map[string]bool{}, forced: map[writeKind]int{}, precedingWrites: map[string]int{}}
 	synctest.Test(t, func(t *testing.T) {
 		o.w = newWorld(seed, nil)
 		isCrowded := len(c.others) == 1 && c.others[0] == migrationWrite // jobs migrate where room is short
@@ -155,37 +155,37 @@
 }
 
 // isProven reports whether the forced order has taken place.
-func (o *delayOrder) isProven() bool {
+func (o *delayCaseRun) isProven() bool {
 	for kind, count := range o.unanswered {
 		if o.forced[kind] < count {
 			return false
 		}
 	}
-	hasLanded := slices.ContainsFunc(o.landings, func(at time.Duration) bool { return at > o.landsAfter })
-	mostInTheWay := slices.Max(append(slices.Collect(maps.Values(o.inTheWay)), 0))
+	hasLanded := slices.ContainsFunc(o.lateCommits, func(at time.Duration) bool { return at > o.landsAfter })
+	mostInTheWay := slices.Max(append(slices.Collect(maps.Values(o.precedingWrites)), 0))
 	return len(o.machines) > 0 && (len(o.unanswered) == 0 || hasLanded) &&
-		mostInTheWay >= min(len(o.others), 2) && (o.mute == "" || o.asked > 0)
+		mostInTheWay >= min(len(o.others), 2) && (o.mute == "" || o.redirectsByMuted > 0)
 }
 
 // findLeftOver notes, after all cuts and at the end, which delegations and
 // acknowledgements stand.
-func (o *delayOrder) findLeftOver() {
+func (o *delayCaseRun) findLeftOver() {
 	for _, at := range []time.Duration{lastCutEnds + 2*lateBy, 800 * sec} {
 		time.Sleep(at - time.Since(o.w.startedAt))
 		for _, key := range o.w.store.Keys() {
 			_, isDelegation := storage.ParseDelegationKey(key)
 			_, isAck := storage.ParseDelegationAckKey(key)
 			if isDelegation || isAck {
-				o.leftOver = append(o.leftOver, fmt.Sprintf("%s stands at %v", key, at))
+				o.leftoverRecords = append(o.leftoverRecords, fmt.Sprintf("%s stands at %v", key, at))
 			}
 		}
 	}
 }
 
 // checkDelays checks the target for each machine, and logs how the time was spent.
-func (o *delayOrder) checkDelays(t *testing.T, seed uint64) {
+func (o *delayCaseRun) checkDelays(t *testing.T, seed uint64) {
 	for _, m := range o.machines {
-		split := fmt.Sprintf("seed %d: %s in zone %s, shard %d of %s:", seed, m.worker.id, m.worker.rental.Zone, m.shard, m.holder.name)
+		split := fmt.Sprintf("seed %d: %s in zone %s, shard %d of %s:", seed, m.worker.id, m.worker.request.Zone, m.shard, m.holder.name)
 		for _, step := range []string{delegationSent, shownAtHolder, ackSent, shownAtProxy, firstAnswer} {
 			if at, found := m.steps[step]; found {
 				split += fmt.Sprintf(" %s %.2f", step, at.Seconds())
@@ -224,11 +224,11 @@
 			for seed := uint64(1); seed <= maxDelaySeeds && (proven == 0 || *all && seed <= delaySeeds); seed++ {
 				o := c.play(t, seed)
 				o.w.check(t)
-				if lost := keptLeases(o.w); lost != "" {
+				if lost := leaseExpiryViolation(o.w); lost != "" {
 					t.Errorf("seed %d: %s", seed, lost)
 				}
-				if len(o.leftOver) > 0 {
-					t.Errorf("seed %d: nobody wants them, but %s", seed, strings.Join(o.leftOver, ", "))
+				if len(o.leftoverRecords) > 0 {
+					t.Errorf("seed %d: nobody wants them, but %s", seed, strings.Join(o.leftoverRecords, ", "))
 				}
 				if o.isProven() {
 					proven++
--- a/internal/coordination/delegation_fences_test.go
+++ b/internal/coordination/delegation_fences_test.go
@@ -178,7 +178,7 @@
 		name := fmt.Sprintf("host-%06d", i)
 		names, leases = append(names, name), append(leases, storage.MachineLease{Machine: name, MachineType: "small", Zone: "b", FencingToken: 2})
 	}
-	s.setGrant(storage.Grant{Machines: leases}, size4, now)
+	s.setGrant(storage.Grant{Machines: leases}, fourCores, now)
 	for i := range unanswered {
 		m := s.machines[names[i*machines/unanswered]]
 		s.receiveHeartbeat(m, &protocol.Heartbeat{Machine: m.lease.Machine, Address: "x:1", Session: 1, Sequence: 1, FencingToken: 2}, now)
--- a/internal/coordination/dependencies_test.go
+++ b/internal/coordination/dependencies_test.go
@@ -98,7 +98,7 @@
 		ctx, stop := context.WithCancel(context.Background())
 		w.ctx = ctx
 		w.nodes = []*simNode{{name: "n0"}}
-		n := w.newNode(0, w.settings, w.settings.Defaults(), storage.NewClientWithTransport(&simStoreLink{s: w.store, rnd: rand.New(rand.NewPCG(1, 1))}, 300, 200, 1), nil)
+		n := w.newNode(0, w.settings, w.settings.Defaults(), storage.NewClientWithTransport(&simStoreLink{store: w.store, random: rand.New(rand.NewPCG(1, 1))}, 300, 200, 1), nil)
 		s := Service{n}
 		submit := func(id, dependsOn string) int {
 			body := strings.Replace(submission, "wk-000001", id, 1)
--- a/internal/coordination/direct_dispatch_test.go
+++ b/internal/coordination/direct_dispatch_test.go
@@ -52,7 +52,7 @@
 				time.Sleep(time.Minute)
 				w.mu.Lock()
 				defer w.mu.Unlock()
-				if lost := keptLeases(w); lost != "" || len(w.taskWorker) != 2 {
+				if lost := leaseExpiryViolation(w); lost != "" || len(w.taskWorker) != 2 {
 					t.Errorf("%s, %d tasks run", lost, len(w.taskWorker))
 				}
 			})
--- a/internal/coordination/disabled_guards_test.go
+++ b/internal/coordination/disabled_guards_test.go
@@ -15,8 +15,8 @@
 // disabledGuard is a guard of the program that a test disables, inside or from
 // outside.
 type disabledGuard struct {
-	tweak func(n *Node)
-	out   disabledGuards
+	tweak   func(n *Node)
+	inWorld disabledGuards
 }
 
 func disableGuard(g dispatch.DisabledGuards) disabledGuard {
@@ -25,33 +25,33 @@
 
 // Names of the guards that are disabled.
 const (
-	guardActing          = "a holder stops acting when its lease or its copy is too old"
-	guardLease           = "a silent machine's tasks are there until its worker's lease is over"
-	guardOrder           = "an old report tells nothing new"
-	guardTerm            = "only a report that knows the new term settles a machine"
-	guardConditions      = "transactions hold only if what they change is as it was read"
-	guardReads           = "users are told what the state service says now"
-	guardBinding         = "a direct start without an answer binds its task"
-	guardMemory          = "an attempt of which a copy may come is not forgotten"
-	guardUnderWay        = "a heartbeat proxy does not answer machines to which starts are under way"
-	guardDelegated       = "machines that are delegated are not taken for silent"
-	guardProxyStops      = "a heartbeat proxy stops what is cancelled"
-	guardStartBeforeStop = "a halt of an attempt that may be unknown goes out after its start"
+	guardLeaseValidity     = "a holder stops acting when its lease or its copy is too old"
+	guardWorkerLease       = "a silent machine's tasks are there until its worker's lease is over"
+	guardHeartbeatOrder    = "an old report tells nothing new"
+	guardFencingToken      = "only a report that knows the new term settles a machine"
+	guardPreconditions     = "transactions hold only if what they change is as it was read"
+	guardCurrentReads      = "users are told what the state service says now"
+	guardUnansweredStart   = "a direct start without an answer binds its task"
+	guardAttemptRetention  = "an attempt of which a copy may come is not forgotten"
+	guardStartsInFlight    = "a heartbeat proxy does not answer machines to which starts are under way"
+	guardDelegatedMachines = "machines that are delegated are not taken for silent"
+	guardProxyStops        = "a heartbeat proxy stops what is cancelled"
+	guardStartBeforeStop   = "a halt of an attempt that may be unknown goes out after its start"
 )
 
 var guardVariants = map[string]disabledGuard{
-	guardActing:          {tweak: func(n *Node) { n.timing.LeaseValidity = time.Hour }},
-	guardLease:           {tweak: func(n *Node) { n.timing.WorkerTimeout = 3 * time.Second }},
-	guardOrder:           {out: disabledGuards{order: true}},
-	guardTerm:            {out: disabledGuards{order: true, term: true}},
-	guardConditions:      {out: disabledGuards{conditions: true}},
-	guardReads:           {tweak: func(n *Node) { n.confirm = func(context.Context) error { return nil } }, out: disabledGuards{reads: true}},
-	guardBinding:         {out: disabledGuards{binding: true}},
-	guardUnderWay:        {tweak: func(n *Node) { n.heartbeatProxy.acknowledgeAlways = true }},
-	guardDelegated:       {tweak: func(n *Node) { n.heartbeatProxy.ignoreDelegated = true }},
-	guardProxyStops:      {out: disabledGuards{proxyStops: true}},
-	guardMemory:          disableGuard(dispatch.WithoutMemory),
-	guardStartBeforeStop: disableGuard(dispatch.WithoutStartBeforeStop),
+	guardLeaseValidity:     {tweak: func(n *Node) { n.timing.LeaseValidity = time.Hour }},
+	guardWorkerLease:       {tweak: func(n *Node) { n.timing.WorkerTimeout = 3 * time.Second }},
+	guardHeartbeatOrder:    {inWorld: disabledGuards{order: true}},
+	guardFencingToken:      {inWorld: disabledGuards{order: true, term: true}},
+	guardPreconditions:     {inWorld: disabledGuards{conditions: true}},
+	guardCurrentReads:      {tweak: func(n *Node) { n.confirm = func(context.Context) error { return nil } }, inWorld: disabledGuards{reads: true}},
+	guardUnansweredStart:   {inWorld: disabledGuards{binding: true}},
+	guardStartsInFlight:    {tweak: func(n *Node) { n.heartbeatProxy.acknowledgeAlways = true }},
+	guardDelegatedMachines: {tweak: func(n *Node) { n.heartbeatProxy.ignoreDelegated = true }},
+	guardProxyStops:        {inWorld: disabledGuards{proxyStops: true}},
+	guardAttemptRetention:  disableGuard(dispatch.WithoutMemory),
+	guardStartBeforeStop:   disableGuard(dispatch.WithoutStartBeforeStop),
 }
 
 // firstViolation is the first violation that begins with a rule's name, or
@@ -62,7 +62,7 @@
 		return strings.HasPrefix(b, rule) && !strings.HasPrefix(b, "never over") && !strings.HasPrefix(b, "left waiting")
 	})
 	if i < 0 && rule == "" {
-		return w.overBound()
+		return w.cancelBoundViolation()
 	}
 	if i < 0 {
 		return ""
@@ -84,7 +84,7 @@
 			for k := range broken {
 				t.Run(fmt.Sprint(from+uint64(k)), func(t *testing.T) {
 					t.Parallel()
-					broken[k] = m.play(t, from+uint64(k), g.tweak, g.out).firstViolation(m.detects.violation)
+					broken[k] = m.play(t, from+uint64(k), g.tweak, g.inWorld).firstViolation(m.detects.violation)
 				})
 			}
 		})
@@ -95,11 +95,11 @@
 	return "", 0
 }
 
-// guardsCheckedByExplorer are guards for which another test that CI runs whole
+// guardsModelChecked are guards for which another test that CI runs whole
 // searches every order of events.
-var guardsCheckedByExplorer = map[string]string{
+var guardsModelChecked = map[string]string{
 	guardStartBeforeStop: "TestStartsModelChecked/cancelled",
-	guardUnderWay:        "TestStartsModelChecked/proxy_answers",
+	guardStartsInFlight:  "TestStartsModelChecked/proxy_answers",
 }
 
 // Every scenario detects a disabled guard. CI plays those that do so within a
@@ -127,7 +127,7 @@
 		})
 	}
 	for _, name := range slices.Sorted(maps.Keys(guardVariants)) {
-		if !played[name] && guardsCheckedByExplorer[name] == "" {
+		if !played[name] && guardsModelChecked[name] == "" {
 			t.Errorf("no scenario is for the guard %q", name)
 		}
 	}
--- a/internal/coordination/failover_delay_test.go
+++ b/internal/coordination/failover_delay_test.go
@@ -21,9 +21,9 @@
 	carriedOut map[string]int // by key and the revision that they depend on
 }
 
-// kindOfFailoverWrite returns the key that decides a failover that a transaction writes;
+// failoverKey returns the key that decides a failover that a transaction writes;
 // empty: none.
-func kindOfFailoverWrite(txn protocol.Txn) string {
+func failoverKey(txn protocol.Txn) string {
 	for _, write := range txn.Writes {
 		if _, isShard := storage.ParseShardKey(write.Put); isShard || write.Put == storage.LeaderKey {
 			return write.Put
@@ -33,15 +33,15 @@
 }
 
 // decide returns the fate of a transaction of a controller.
-func (f *failoverWrites) decide(sender string, txn protocol.Txn) forcedFate {
-	key := kindOfFailoverWrite(txn)
+func (f *failoverWrites) decide(sender string, txn protocol.Txn) forcedOutcome {
+	key := failoverKey(txn)
 	if key == "" {
-		return forcedFate{}
+		return forcedOutcome{}
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.copies[sender+key]++
-	fate := forcedFate{done: func(status int) { f.recordDone(fmt.Sprint(key, txn.Preconditions), status) }}
+	fate := forcedOutcome{done: func(status int) { f.recordDone(fmt.Sprint(key, txn.Preconditions), status) }}
 	if f.copies[sender+key] <= f.unanswered {
 		fate.late = f.lateBy
 	}
@@ -93,9 +93,9 @@
 				}
 				writes := &failoverWrites{unanswered: unanswered, lateBy: lateBy, copies: map[string]int{}, carriedOut: map[string]int{}}
 				for _, n := range w.nodes {
-					n.wire.mu.Lock()
-					n.wire.decideFate = func(txn protocol.Txn) forcedFate { return writes.decide(n.name, txn) }
-					n.wire.mu.Unlock()
+					n.storeLink.mu.Lock()
+					n.storeLink.decideOutcome = func(txn protocol.Txn) forcedOutcome { return writes.decide(n.name, txn) }
+					n.storeLink.mu.Unlock()
 				}
 				w.endSession(leader)
 				gone := time.Now()
--- a/internal/coordination/failure_detection_test.go
+++ b/internal/coordination/failure_detection_test.go
@@ -135,7 +135,7 @@
 	for k := range 2 * machinesPerZone {
 		grant.Machines = append(grant.Machines, storage.MachineLease{Machine: fmt.Sprint("m", k), MachineType: "small", Zone: []string{"a", "b"}[k%2], Spot: true, FencingToken: 2})
 	}
-	s.setGrant(grant, size4, now)
+	s.setGrant(grant, fourCores, now)
 	input = &planInput{
 		params:            placement.UCfit{A: 2, B: 1, C: 0.2},
 		machineTypes:      simMachineTypes,
--- a/internal/coordination/fault_pairs_test.go
+++ b/internal/coordination/fault_pairs_test.go
@@ -11,16 +11,16 @@
 // defaultFault returns a fault of a kind with the parameters that it mostly
 // has.
 func defaultFault(k faultKind, at, lasts time.Duration) fault {
-	f := fault{at: at, kind: k, duration: lasts, count: 3, share: 0.4, target: theLeader}
+	f := fault{at: at, kind: k, duration: lasts, count: 3, share: 0.4, target: targetLeader}
 	switch k {
 	case controllerEnds, workersSeparated, zoneIsolatedWithController:
-		f.target = theBusiest
+		f.target = targetBusiest
 	case controllerPauses:
 		f.duration = min(lasts, 12*sec)
 	case machinesHang:
-		f.hangFor = 10 * sec
+		f.hangDuration = 10 * sec
 	case cancelRunningJobs:
-		f.hangFor = 8 * sec
+		f.hangDuration = 8 * sec
 	case machinesReclaimed:
 		f.duration = 10 * sec
 	case leaderChanges:
--- a/internal/coordination/golden_test.go
+++ b/internal/coordination/golden_test.go
@@ -43,7 +43,7 @@
 				t.Fatal(err)
 			}
 			if isFull {
-				for _, field := range unset(v.Elem(), kind) {
+				for _, field := range unsetFields(v.Elem(), kind) {
 					t.Errorf("%s is not read from the golden file", field)
 				}
 			}
@@ -90,20 +90,20 @@
 	}
 }
 
-// unset names the exported fields that are zero, also in the first element of each list
+// unsetFields names the exported fields that are zero, also in the first element of each list
 // and map.
-func unset(v reflect.Value, path string) (fields []string) {
+func unsetFields(v reflect.Value, path string) (fields []string) {
 	switch {
 	case v.IsZero():
 		return []string{path}
 	case v.Kind() == reflect.Slice && v.Type().Elem().Kind() == reflect.Struct:
-		return unset(v.Index(0), path)
+		return unsetFields(v.Index(0), path)
 	case v.Kind() == reflect.Map && v.Len() > 0:
-		return unset(v.MapIndex(v.MapKeys()[0]), path)
+		return unsetFields(v.MapIndex(v.MapKeys()[0]), path)
 	case v.Kind() == reflect.Struct:
 		for i := range v.NumField() {
 			if f := v.Type().Field(i); f.IsExported() {
-				fields = append(fields, unset(v.Field(i), path+"."+f.Name)...)
+				fields = append(fields, unsetFields(v.Field(i), path+"."+f.Name)...)
 			}
 		}
 	}
--- a/internal/coordination/guards_test.go
+++ b/internal/coordination/guards_test.go
@@ -17,8 +17,8 @@
 
 func (f roundTripFunc) RoundTrip(r *http.Request) (*http.Response, error) { return f(r) }
 
-// size4 is the size of every machine here: four cores.
-func size4(string) (placement.Resources, bool) { return placement.Resources{4, 0, 16}, true }
+// fourCores is the size of every machine here: four cores.
+func fourCores(string) (placement.Resources, bool) { return placement.Resources{4, 0, 16}, true }
 
 // shardWithUnusedShare returns a controller whose shard has all of a team's
 // quota and uses none of it while another shard is short, and whose writes are
@@ -31,7 +31,7 @@
 	rec = &storage.Grant{Quotas: map[string]storage.Resources{"red": {Cores: 14}}}
 	applyGrant(n, 0, *rec, 5)
 	s = newShard(0, storage.ShardLease{FencingToken: 1}, 1, time.Now())
-	s.setGrant(*rec, size4, time.Now())
+	s.setGrant(*rec, fourCores, time.Now())
 	n.shards[0] = s
 	n.peerStatus["n1"] = &Status{Shards: []ShardStatus{{Index: 1, Desired: map[string]storage.Resources{"red": {Cores: 5}}}}}
 	return n, s, rec, sent
@@ -51,7 +51,7 @@
 		t.Errorf("share rose to %v without a newer record", s.shares["red"])
 	}
 	rec.Quotas = map[string]storage.Resources{"red": {Cores: 4}}
-	s.setGrant(*rec, size4, time.Now())
+	s.setGrant(*rec, fourCores, time.Now())
 	if s.shares["red"].Cores != 4 {
 		t.Errorf("newer record not applied: %v", s.shares["red"])
 	}
@@ -78,7 +78,7 @@
 func TestUnconfirmedUntilReconciled(t *testing.T) {
 	now := time.Now()
 	s := newShard(0, storage.ShardLease{FencingToken: 7}, 50, now)
-	s.setGrant(storage.Grant{Machines: []storage.MachineLease{{Machine: "a", FencingToken: 3}, {Machine: "b", FencingToken: 5}}}, size4, now)
+	s.setGrant(storage.Grant{Machines: []storage.MachineLease{{Machine: "a", FencingToken: 3}, {Machine: "b", FencingToken: 5}}}, fourCores, now)
 	j := &job{id: "wk-1", spec: protocol.Job{ID: "wk-1", Team: "red", Type: "array", Tasks: 2}, revision: 40, need: placement.Resources{1, 0, 1}}
 	s.addJob(j)
 	fresh := &job{id: "wk-2", spec: protocol.Job{ID: "wk-2", Team: "red", Type: "array", Tasks: 1}, revision: 60, need: placement.Resources{1, 0, 1}}
@@ -115,7 +115,7 @@
 	now := time.Now()
 	s := newShard(0, storage.ShardLease{FencingToken: 1}, 1, now)
 	s.unreadable = map[string]bool{"wk-1": true}
-	s.setGrant(storage.Grant{Machines: []storage.MachineLease{{Machine: "a", FencingToken: 2}}}, size4, now)
+	s.setGrant(storage.Grant{Machines: []storage.MachineLease{{Machine: "a", FencingToken: 2}}}, fourCores, now)
 	m := s.machines["a"]
 	s.receiveHeartbeat(m, &protocol.Heartbeat{Machine: "a", Session: 1, Sequence: 1, FencingToken: 2, Tasks: []protocol.TaskStatus{{Task: "wk-1/0", Attempt: 1, State: protocol.Running}}}, now)
 	if o := s.buildOrders(m, now); len(o) != 0 || m.isSchedulable() || s.unreportedCapacity().Cores != 4 {
@@ -131,7 +131,7 @@
 // one task.
 func oneTask(now time.Time) (*shard, *machine, *job) {
 	s := newShard(0, storage.ShardLease{FencingToken: 1}, 1, now)
-	s.setGrant(storage.Grant{Machines: []storage.MachineLease{{Machine: "a", FencingToken: 2}}}, size4, now)
+	s.setGrant(storage.Grant{Machines: []storage.MachineLease{{Machine: "a", FencingToken: 2}}}, fourCores, now)
 	j := &job{id: "wk-1", spec: protocol.Job{ID: "wk-1", Team: "red", Type: "array", Tasks: 1}, revision: 9, need: placement.Resources{1, 0, 1}}
 	s.addJob(j)
 	return s, s.machines["a"], j
@@ -163,7 +163,7 @@
 // not.
 func TestNewLeaderFindsRemovedMachines(t *testing.T) {
 	w := newWorld(1, nil)
-	n := New(w.settings, w.settings.Defaults(), nil, emptyList{}, nil, nil)
+	n := New(w.settings, w.settings.Defaults(), nil, listingCloud{}, nil, nil)
 	sent := time.Now()
 	lag := time.Duration(2 * w.settings.Deployment.Cloud.ListLagS * float64(time.Second))
 	applyGrant(n, 0, storage.Grant{Machines: []storage.MachineLease{
@@ -179,9 +179,9 @@
 	}
 }
 
-type emptyList struct{ Cloud }
+type listingCloud struct{ Cloud }
 
-func (emptyList) List(context.Context, string) (protocol.MachineList, error) {
+func (listingCloud) List(context.Context, string) (protocol.MachineList, error) {
 	return protocol.MachineList{Machines: []protocol.ListedMachine{{ID: "listed", Status: "running"}}}, nil
 }
 
@@ -190,7 +190,7 @@
 func TestSlowMachineGetsNoTasks(t *testing.T) {
 	now := time.Now()
 	s := newShard(0, storage.ShardLease{FencingToken: 1}, 1, now)
-	s.setGrant(storage.Grant{Machines: []storage.MachineLease{{Machine: "a", FencingToken: 2}, {Machine: "b", FencingToken: 2}}}, size4, now)
+	s.setGrant(storage.Grant{Machines: []storage.MachineLease{{Machine: "a", FencingToken: 2}, {Machine: "b", FencingToken: 2}}}, fourCores, now)
 	j := &job{id: "wk-1", spec: protocol.Job{ID: "wk-1", Team: "red", Type: "array", Tasks: 9}, revision: 9,
 		need: placement.Resources{1, 0, 1}, measuredTasks: 3, measuredSeconds: 30}
 	s.addJob(j)
@@ -220,7 +220,7 @@
 	now := time.Now()
 	never := func(machineKind) time.Duration { return time.Hour }
 	s := newShard(0, storage.ShardLease{FencingToken: 1}, 1, now)
-	s.setGrant(storage.Grant{Machines: []storage.MachineLease{{Machine: "a", FencingToken: 2}, {Machine: "b", FencingToken: 2}}}, size4, now)
+	s.setGrant(storage.Grant{Machines: []storage.MachineLease{{Machine: "a", FencingToken: 2}, {Machine: "b", FencingToken: 2}}}, fourCores, now)
 	a, b := s.machines["a"], s.machines["b"]
 	for _, m := range []*machine{a, b} {
 		s.receiveHeartbeat(m, &protocol.Heartbeat{Machine: m.lease.Machine, Session: 1, Sequence: 1, FencingToken: 2}, now)
@@ -298,7 +298,7 @@
 // queued before, but one that may have been carried out is repeated.
 func TestNoCapacityDropsQueuedRequests(t *testing.T) {
 	w := newWorld(1, nil)
-	n := New(w.settings, w.settings.Defaults(), nil, noCloud{}, nil, nil)
+	n := New(w.settings, w.settings.Defaults(), nil, noCapacityCloud{}, nil, nil)
 	now := time.Now()
 	l := newLeadership(1, now)
 	l.acquiredAt, l.listedAt = now.Add(-time.Minute), now
@@ -319,9 +319,9 @@
 	}
 }
 
-type noCloud struct{ Cloud }
+type noCapacityCloud struct{ Cloud }
 
-func (noCloud) RequestMachines(context.Context, protocol.MachineRequest) ([]string, error) {
+func (noCapacityCloud) RequestMachines(context.Context, protocol.MachineRequest) ([]string, error) {
 	return nil, ErrNoCapacity
 }
 
@@ -334,7 +334,7 @@
 	n.apply(storage.SchemaVersionKey, []byte(`{"form":2}`), 1)
 	n.apply(storage.GrantKey(0), []byte(`{"blocks":"in pieces","of":9,"shares":{"red":{"c":14}}}`), 2)
 	s := newShard(0, storage.ShardLease{FencingToken: 1}, 1, time.Now())
-	s.setGrant(n.records.Grants[0].Value, size4, time.Now())
+	s.setGrant(n.records.Grants[0].Value, fourCores, time.Now())
 	n.shards[0] = s
 	n.peerStatus["n1"] = &Status{Shards: []ShardStatus{{Index: 1, Desired: map[string]storage.Resources{"red": {Cores: 5}}}}}
 	n.writeGrants(context.Background())
--- a/internal/coordination/lease_renewal_test.go
+++ b/internal/coordination/lease_renewal_test.go
@@ -16,7 +16,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				w, key := singleController(t)
 				before, _ := key()
-				link := w.nodes[0].wire
+				link := w.nodes[0].storeLink
 				link.mu.Lock()
 				link.renewalsToLose = lost
 				link.mu.Unlock()
@@ -45,7 +45,7 @@
 func TestLeaseRunsOutWithoutAnswers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w, _ := singleController(t)
-		link := w.nodes[0].wire
+		link := w.nodes[0].storeLink
 		link.mu.Lock()
 		link.renewalsToLose = 1 << 20
 		link.mu.Unlock()
--- a/internal/coordination/limits_test.go
+++ b/internal/coordination/limits_test.go
@@ -173,7 +173,7 @@
 	w := newWorld(1, nil)
 	w.settings.Deployment.State.WriteRPS = 3
 	var sent []protocol.Txn
-	n := New(w.settings, w.settings.Defaults(), storage.NewClientWithTransport(recorder{&sent}, 1000, 3, 1), nil, nil, nil)
+	n := New(w.settings, w.settings.Defaults(), storage.NewClientWithTransport(txnRecorder{&sent}, 1000, 3, 1), nil, nil, nil)
 	n.apply(storage.SchemaVersionKey, []byte(`{"form":2}`), 1)
 	n.apply(storage.GrantKey(0), []byte(`{"blocks":"in pieces","of":9,"shares":{}}`), 2)
 	s := newShard(0, storage.ShardLease{FencingToken: 1}, 1, time.Now())
--- a/internal/coordination/lost_answers_test.go
+++ b/internal/coordination/lost_answers_test.go
@@ -38,7 +38,7 @@
 	w.spawn(func() { time.Sleep(60 * sec); w.loseRenewals(lostRenewals) })
 	w.play(16, 150*sec, 700*sec)
 	w.check(t)
-	if lost := keptLeases(w); lost != "" {
+	if lost := leaseExpiryViolation(w); lost != "" {
 		t.Errorf("seed %d: %s\n%s", seed, lost, strings.Join(w.leaseEnds, "\n"))
 	}
 	if len(w.events["a heartbeat is answered by a relay"]) == 0 {
--- a/internal/coordination/model_check_test.go
+++ b/internal/coordination/model_check_test.go
@@ -26,41 +26,41 @@
 // must be known to the holder that may place the task; then nothing runs twice,
 // over a quota, or after a cancellation that was confirmed.
 
-const exWorkers = 2
+const modelWorkerCount = 2
 
-type exWorker struct {
+type modelWorker struct {
 	token               uint64
 	session             uint64
 	sequence            uint64
-	tasks               map[string]exTask           // by name
+	tasks               map[string]modelTask        // by name
 	report              *protocol.Heartbeat         // made, and not yet received by the holder
 	awaitsAnswer        bool                        // of a heartbeat
 	answer              *protocol.HeartbeatResponse // in flight
 	answeredAfterCancel bool                        // the answer was made after the cancellation
 	renewed             bool                        // has had an answer since its session began
-	toldOfCancel        bool                        // has had one that was made after the cancellation
+	renewedAfterCancel  bool                        // has had one that was made after the cancellation
 }
 
-type exTask struct {
+type modelTask struct {
 	attempt uint64
 	active  bool
 	cause   string
 }
 
-// exDirect is a direct message to a worker. givenUp: its sender waits no
+// modelMessage is a direct message to a worker. givenUp: its sender waits no
 // longer.
-type exDirect struct {
-	to      int
-	message directMessage
-	payload protocol.DirectCommands
-	givenUp bool
-	reply   *DirectAnswer // carried out, and its answer in flight
-	holder  *shard
+type modelMessage struct {
+	to       int
+	message  directMessage
+	payload  protocol.DirectCommands
+	timedOut bool
+	reply    *DirectAnswer // carried out, and its answer in flight
+	holder   *shard
 }
 
-// exBounds limits how often the rarer events happen, so that the explorer gets
+// searchBounds limits how often the rarer events happen, so that the explorer gets
 // deep.
-type exBounds struct {
+type searchBounds struct {
 	sent          int
 	emptyMessages int
 	attempts      int
@@ -75,72 +75,72 @@
 	fences        int
 }
 
-// exFault is what a holder does wrong on purpose.
-type exFault string
+// holderFault is what a holder does wrong on purpose.
+type holderFault string
 
 const (
-	faultNone         exFault = ""
-	faultTrusting     exFault = "trusting"      // counts machines as reconciled after a failover
-	faultHastyRelease exFault = "hasty release" // releases a machine that is not empty
-	faultHastyProxy   exFault = "hasty proxy"   // lets a proxy answer while a start is in flight
-	faultImpatient    exFault = "impatient"     // counts tasks as lost before the worker's lease has expired
+	faultNone                holderFault = ""
+	faultSkipsReconciliation holderFault = "trusting"      // counts machines as reconciled after a failover
+	faultReleasesNonEmpty    holderFault = "hasty release" // releases a machine that is not empty
+	faultProxyDuringStart    holderFault = "hasty proxy"   // lets a proxy answer while a start is in flight
+	faultEarlyExpiry         holderFault = "impatient"     // counts tasks as lost before the worker's lease has expired
 )
 
 // explorer is one state of holders, workers and network.
 type explorer struct {
 	guards    dispatch.DisabledGuards
-	bounds    exBounds
-	fault     exFault
+	bounds    searchBounds
+	fault     holderFault
 	holder    *shard // of the job and, unless released, of both machines
 	other     *shard // of a machine that was released
 	job       *job
-	workers   [exWorkers]*exWorker
-	direct    []*exDirect
+	workers   [modelWorkerCount]*modelWorker
+	direct    []*modelMessage
 	late      []*protocol.Heartbeat // heartbeats that their workers have given up
 	cancelled bool                  // the job was cancelled
 	taskDone  bool
 	sent      int // direct messages so far
 	ends      int
 	expires   int
-	terms     uint64
+	lastToken uint64
 	now       time.Time
 }
 
 // newExplorer begins with both machines reconciled and nothing placed.
-func newExplorer(g dispatch.DisabledGuards, b exBounds, fault exFault) *explorer {
-	x := &explorer{guards: g, bounds: b, fault: fault, now: time.Unix(1e9, 0), terms: 10}
+func newExplorer(g dispatch.DisabledGuards, b searchBounds, fault holderFault) *explorer {
+	x := &explorer{guards: g, bounds: b, fault: fault, now: time.Unix(1e9, 0), lastToken: 10}
 	for i := range x.workers {
-		x.workers[i] = &exWorker{session: 1, tasks: map[string]exTask{}}
+		x.workers[i] = &modelWorker{session: 1, tasks: map[string]modelTask{}}
 	}
 	x.holder = x.newHolder(0, 1)
 	x.addJob(9)
 	for range 2 {
 		for i := range x.workers {
 			for _, e := range []string{"report ", "hears ", "answer "} {
-				x.nextEvents()[e+exName(i)]()
+				x.nextEvents()[e+modelWorkerName(i)]()
 			}
 		}
 	}
 	return x
 }
 
-// exName returns the name of a worker and its machine.
-func exName(i int) string { return string(rune('a' + i)) }
+// modelWorkerName returns the name of a worker and its machine.
+func modelWorkerName(i int) string { return string(rune('a' + i)) }
 
-// exMachineSize is the size of every machine: room for the one task.
-func exMachineSize(string) (placement.Resources, bool) { return placement.Resources{1, 0, 4}, true }
+// modelMachineSize is the size of every machine: room for the one task.
+func modelMachineSize(string) (placement.Resources, bool) { return placement.Resources{1, 0, 4}, true }
 
 // newHolder returns a holder of some machines under a new fencing token.
 func (x *explorer) newHolder(machines ...int) *shard {
-	x.terms++
-	s := newShard(0, storage.ShardLease{FencingToken: x.terms}, 5, x.now)
+	x.lastToken++
+	s := newShard(0, storage.ShardLease{FencingToken: x.lastToken}, 5, x.now)
 	s.guards = x.guards
 	var g storage.Grant
 	for _, i := range machines {
 		// Granted under an earlier lease: the machines have to report first.
-		g.Machines = append(g.Machines, storage.MachineLease{Machine: exName(i), MachineType: "small", Zone: "a", FencingToken: 1})
+		g.Machines = append(g.Machines, storage.MachineLease{Machine: modelWorkerName(i), MachineType: "small", Zone: "a", FencingToken: 1})
 	}
-	s.setGrant(g, exMachineSize, x.now)
+	s.setGrant(g, modelMachineSize, x.now)
 	s.reconciled = false
 	s.updateReconciled()
 	s.shares = map[string]storage.Resources{"red": {Cores: 1}}
@@ -159,8 +159,8 @@
 // machineOf returns a worker's machine with the shard that has it.
 func (x *explorer) machineOf(i int) (*shard, *machine) {
 	for _, s := range []*shard{x.holder, x.other} {
-		if s != nil && s.machines[exName(i)] != nil {
-			return s, s.machines[exName(i)]
+		if s != nil && s.machines[modelWorkerName(i)] != nil {
+			return s, s.machines[modelWorkerName(i)]
 		}
 	}
 	return nil, nil
@@ -182,17 +182,17 @@
 		x.addHolderEvents(events, i, w, s, m)
 	}
 	for k, d := range x.direct {
-		x.addDeliveryEvents(events, fmt.Sprintf("%s%d", exName(d.to), k), d)
+		x.addDeliveryEvents(events, fmt.Sprintf("%s%d", modelWorkerName(d.to), k), d)
 	}
 	x.addClusterEvents(events)
 	return events
 }
 
 // addHeartbeatEvents adds what may happen between a worker and its holder.
-func (x *explorer) addHeartbeatEvents(events map[string]func(), i int, w *exWorker) {
-	at := exName(i)
+func (x *explorer) addHeartbeatEvents(events map[string]func(), i int, w *modelWorker) {
+	at := modelWorkerName(i)
 	if !w.awaitsAnswer {
-		events["report "+at] = func() { w.report, w.awaitsAnswer = x.reportOf(i), true }
+		events["report "+at] = func() { w.report, w.awaitsAnswer = x.heartbeatOf(i), true }
 	}
 	if w.report != nil {
 		events["hears "+at] = func() { x.receiveReport(i, w.report); w.report = nil }
@@ -213,19 +213,19 @@
 // addProxyEvents adds the answer of a heartbeat proxy, given instead of the
 // holder's once that has acknowledged that no start is in flight, and the fence of
 // one that is.
-func (x *explorer) addProxyEvents(events map[string]func(), i int, w *exWorker, s *shard, m *machine) {
-	if w.report != nil && x.bounds.proxyAnswers > 0 && m.isReconciled() && (!m.hasStartInFlight() || x.fault == faultHastyProxy) {
-		events["proxy answers "+exName(i)] = func() {
+func (x *explorer) addProxyEvents(events map[string]func(), i int, w *modelWorker, s *shard, m *machine) {
+	if w.report != nil && x.bounds.proxyAnswers > 0 && m.isReconciled() && (!m.hasStartInFlight() || x.fault == faultProxyDuringStart) {
+		events["proxy answers "+modelWorkerName(i)] = func() {
 			x.bounds.proxyAnswers--
 			w.report, w.awaitsAnswer = nil, false
 			x.answerByProxy(w, s.machineToken(m))
 		}
 	}
 	if m.hasStartInFlight() && x.bounds.fences > 0 {
-		events["fence "+exName(i)] = func() {
+		events["fence "+modelWorkerName(i)] = func() {
 			x.bounds.fences--
-			x.terms++
-			m.fenceToken = x.terms
+			x.lastToken++
+			m.fenceToken = x.lastToken
 		}
 	}
 }
@@ -233,10 +233,10 @@
 // addDirectMessageEvents adds the placement of the task, and direct messages
 // with and without commands.
 func (x *explorer) addDirectMessageEvents(events map[string]func(), i int, s *shard, m *machine) {
-	at := exName(i)
+	at := modelWorkerName(i)
 	send := func() {
 		message := directTarget{s, m}.buildMessage(x.now)
-		x.direct = append(x.direct, &exDirect{to: i, message: message, payload: message.payload, holder: s})
+		x.direct = append(x.direct, &modelMessage{to: i, message: message, payload: message.payload, holder: s})
 	}
 	if s == x.holder && x.canPlace(m) {
 		events["place "+at] = func() { s.place(x.job, x.job.takePendingTask(), m) }
@@ -256,18 +256,18 @@
 }
 
 // addTaskEvents adds the ends of a worker's tasks, and of its lease.
-func (x *explorer) addTaskEvents(events map[string]func(), i int, w *exWorker) {
-	at := exName(i)
+func (x *explorer) addTaskEvents(events map[string]func(), i int, w *modelWorker) {
+	at := modelWorkerName(i)
 	for name, task := range w.tasks {
 		if task.active && x.ends < x.bounds.ends {
 			events["end "+at] = func() {
 				x.ends++
-				w.tasks[name] = exTask{attempt: task.attempt, cause: protocol.CauseStopped}
+				w.tasks[name] = modelTask{attempt: task.attempt, cause: protocol.CauseStopped}
 			}
 			events["done "+at] = func() {
 				x.ends++
 				x.taskDone = true
-				w.tasks[name] = exTask{attempt: task.attempt, cause: protocol.CauseDone}
+				w.tasks[name] = modelTask{attempt: task.attempt, cause: protocol.CauseDone}
 			}
 		}
 	}
@@ -275,17 +275,17 @@
 		events["expire "+at] = func() {
 			x.expires++
 			w.session++
-			w.tasks, w.answer, w.report, w.awaitsAnswer, w.renewed = map[string]exTask{}, nil, nil, false, false
+			w.tasks, w.answer, w.report, w.awaitsAnswer, w.renewed = map[string]modelTask{}, nil, nil, false, false
 		}
 	}
 }
 
 // addHolderEvents adds what a holder may conclude or decide about a machine.
-func (x *explorer) addHolderEvents(events map[string]func(), i int, w *exWorker, s *shard, m *machine) {
-	at := exName(i)
+func (x *explorer) addHolderEvents(events map[string]func(), i int, w *modelWorker, s *shard, m *machine) {
+	at := modelWorkerName(i)
 	// Silent for longer than the lease: the worker has expired since its last
 	// answer, and none is in flight.
-	if (w.session > m.exchange.Session() || x.fault == faultImpatient) && m.hasReported() && !w.renewed && w.answer == nil && !m.isExpired() {
+	if (w.session > m.exchange.Session() || x.fault == faultEarlyExpiry) && m.hasReported() && !w.renewed && w.answer == nil && !m.isExpired() {
 		events["silent "+at] = func() { s.markLost(m); s.updateReconciled() }
 	}
 	for _, attempt := range m.attempts {
@@ -293,7 +293,7 @@
 			events["stop "+at] = func() { attempt.stopRequested = true }
 		}
 	}
-	isEmpty := len(m.attempts) == 0 || x.fault == faultHastyRelease
+	isEmpty := len(m.attempts) == 0 || x.fault == faultReleasesNonEmpty
 	if s == x.holder && x.other == nil && x.bounds.releases > 0 && m.isReconciled() && m.hasReported() && isEmpty && len(m.orphans) == 0 {
 		events["hand back "+at] = func() { x.releaseAndGrantAgain(at, s, m) }
 	}
@@ -306,24 +306,24 @@
 	}
 	delete(s.machines, name)
 	s.machineList = nil
-	x.terms++
+	x.lastToken++
 	x.other = newShard(1, storage.ShardLease{FencingToken: 1}, 1, x.now)
 	x.other.guards = x.guards
-	grant := storage.Grant{Machines: []storage.MachineLease{{Machine: name, MachineType: "small", Zone: "a", FencingToken: x.terms}}}
-	x.other.setGrant(grant, exMachineSize, x.now)
+	grant := storage.Grant{Machines: []storage.MachineLease{{Machine: name, MachineType: "small", Zone: "a", FencingToken: x.lastToken}}}
+	x.other.setGrant(grant, modelMachineSize, x.now)
 }
 
 // addDeliveryEvents adds what may become of a direct message.
-func (x *explorer) addDeliveryEvents(events map[string]func(), at string, d *exDirect) {
+func (x *explorer) addDeliveryEvents(events map[string]func(), at string, d *modelMessage) {
 	if d.reply == nil {
-		events["arrives "+at] = func() { x.arrives(d) }
-		if !d.givenUp {
-			events["not sent "+at] = func() { x.finishDirect(d, DirectAnswer{Outcome: Unsent}); x.forget(d) }
-			events["unanswered "+at] = func() { x.finishDirect(d, DirectAnswer{}); d.givenUp = true }
+		events["arrives "+at] = func() { x.deliver(d) }
+		if !d.timedOut {
+			events["not sent "+at] = func() { x.finishDirect(d, DirectAnswer{Outcome: Unsent}); x.removeMessage(d) }
+			events["unanswered "+at] = func() { x.finishDirect(d, DirectAnswer{}); d.timedOut = true }
 		}
-	} else if !d.givenUp {
-		events["replied "+at] = func() { x.finishDirect(d, *d.reply); x.forget(d) }
-		events["reply lost "+at] = func() { x.finishDirect(d, DirectAnswer{}); x.forget(d) }
+	} else if !d.timedOut {
+		events["replied "+at] = func() { x.finishDirect(d, *d.reply); x.removeMessage(d) }
+		events["reply lost "+at] = func() { x.finishDirect(d, DirectAnswer{}); x.removeMessage(d) }
 	}
 }
 
@@ -354,7 +354,7 @@
 	x.bounds.failovers--
 	var machines []int
 	for i := range x.workers {
-		if x.holder.machines[exName(i)] != nil {
+		if x.holder.machines[modelWorkerName(i)] != nil {
 			machines = append(machines, i)
 		}
 	}
@@ -362,7 +362,7 @@
 	if !x.cancelled {
 		x.addJob(1) // older than the lease
 	}
-	if x.fault == faultTrusting {
+	if x.fault == faultSkipsReconciliation {
 		for _, m := range x.holder.machines {
 			m.state = machineReconciled
 		}
@@ -376,10 +376,10 @@
 		x.holder.remainingQuota(j, map[string]teamQuota{"red": {limit: storage.Resources{Cores: 1}}}, x.holder.unreportedCapacity()) > 0 && int(x.holder.attemptCount) < x.bounds.attempts
 }
 
-func (x *explorer) reportOf(i int) *protocol.Heartbeat {
+func (x *explorer) heartbeatOf(i int) *protocol.Heartbeat {
 	w := x.workers[i]
 	w.sequence++
-	r := &protocol.Heartbeat{Machine: exName(i), Address: exName(i), MachineType: "small", Zone: "a", Session: w.session, Sequence: w.sequence, FencingToken: w.token}
+	r := &protocol.Heartbeat{Machine: modelWorkerName(i), Address: modelWorkerName(i), MachineType: "small", Zone: "a", Session: w.session, Sequence: w.sequence, FencingToken: w.token}
 	for _, name := range slices.Sorted(maps.Keys(w.tasks)) {
 		t := w.tasks[name]
 		st := protocol.TaskStatus{Task: name, Attempt: t.attempt, State: protocol.Running}
@@ -401,41 +401,41 @@
 	x.workers[i].answer, x.workers[i].answeredAfterCancel = o, x.cancelled
 }
 
-func (x *explorer) receiveAnswer(w *exWorker) {
+func (x *explorer) receiveAnswer(w *modelWorker) {
 	o := w.answer
 	w.answer, w.awaitsAnswer = nil, false
 	if o.FencingToken < w.token {
 		return
 	}
 	w.token, w.renewed = o.FencingToken, true
-	w.toldOfCancel = w.toldOfCancel || w.answeredAfterCancel
-	w.carryOut(o.Commands, x)
+	w.renewedAfterCancel = w.renewedAfterCancel || w.answeredAfterCancel
+	w.execute(o.Commands, x)
 }
 
 // answerByProxy renews a worker's lease and stops what is cancelled.
-func (x *explorer) answerByProxy(w *exWorker, token uint64) {
+func (x *explorer) answerByProxy(w *modelWorker, token uint64) {
 	if token < w.token {
 		return
 	}
-	w.token, w.renewed, w.toldOfCancel = token, true, w.toldOfCancel || x.cancelled
+	w.token, w.renewed, w.renewedAfterCancel = token, true, w.renewedAfterCancel || x.cancelled
 	for name, t := range w.tasks {
 		if x.cancelled && t.active {
-			w.tasks[name] = exTask{attempt: t.attempt, cause: protocol.CauseStopped}
+			w.tasks[name] = modelTask{attempt: t.attempt, cause: protocol.CauseStopped}
 		}
 	}
 }
 
-func (w *exWorker) carryOut(orders []protocol.Command, x *explorer) {
+func (w *modelWorker) execute(orders []protocol.Command, x *explorer) {
 	for _, o := range orders {
 		t, ok := w.tasks[o.Task]
 		switch o.Verb {
 		case protocol.VerbStart:
 			if !ok || !t.active && t.attempt != o.Attempt {
-				w.tasks[o.Task] = exTask{attempt: o.Attempt, active: true}
+				w.tasks[o.Task] = modelTask{attempt: o.Attempt, active: true}
 			}
 		case protocol.VerbStop:
 			if ok && t.active && t.attempt == o.Attempt {
-				w.tasks[o.Task] = exTask{attempt: o.Attempt, cause: protocol.CauseStopped}
+				w.tasks[o.Task] = modelTask{attempt: o.Attempt, cause: protocol.CauseStopped}
 			}
 		case protocol.VerbClear:
 			if ok && !t.active && t.attempt == o.Attempt {
@@ -445,25 +445,25 @@
 	}
 }
 
-func (x *explorer) arrives(d *exDirect) {
+func (x *explorer) deliver(d *modelMessage) {
 	w := x.workers[d.to]
 	a := &DirectAnswer{Outcome: Denied}
 	if d.payload.FencingToken >= w.token && d.payload.Session == w.session {
 		a.Outcome = Done
 		w.token = d.payload.FencingToken
-		w.carryOut(d.payload.Commands, x)
+		w.execute(d.payload.Commands, x)
 	}
-	a.Report = x.reportOf(d.to)
-	if d.reply = a; d.givenUp {
-		x.forget(d)
+	a.Report = x.heartbeatOf(d.to)
+	if d.reply = a; d.timedOut {
+		x.removeMessage(d)
 	}
 }
 
-func (x *explorer) forget(d *exDirect) {
-	x.direct = slices.DeleteFunc(slices.Clone(x.direct), func(o *exDirect) bool { return o == d })
+func (x *explorer) removeMessage(d *modelMessage) {
+	x.direct = slices.DeleteFunc(slices.Clone(x.direct), func(o *modelMessage) bool { return o == d })
 }
 
-func (x *explorer) finishDirect(d *exDirect, a DirectAnswer) {
+func (x *explorer) finishDirect(d *modelMessage, a DirectAnswer) {
 	if s, m := x.machineOf(d.to); s == d.holder && m == d.message.machine {
 		s.finishDirect(&d.message, a, x.now)
 	}
@@ -496,22 +496,22 @@
 		for _, o := range d.payload.Commands {
 			if t, ok := w.tasks[o.Task]; o.Verb == protocol.VerbStart && (!ok || !t.active && t.attempt != o.Attempt) {
 				can = append(can, at{d.to, o.Attempt})
-				if x.cancelled && w.toldOfCancel {
+				if x.cancelled && w.renewedAfterCancel {
 					return "ran_cancelled: a copy can start it, though the worker's lease was renewed since the cancellation"
 				}
 			}
 		}
 	}
 	for _, c := range can {
-		m := x.holder.machines[exName(c.worker)]
+		m := x.holder.machines[modelWorkerName(c.worker)]
 		if m == nil {
-			return fmt.Sprintf("attempt %d can start on machine %s, which was released", c.attempt, exName(c.worker))
+			return fmt.Sprintf("attempt %d can start on machine %s, which was released", c.attempt, modelWorkerName(c.worker))
 		}
 		if !m.isReconciled() || len(m.orphans) > 0 {
 			continue // counts in full, and nothing unconfirmed starts
 		}
 		if r := m.attempts[taskKey{"wk-1", 0}]; r == nil || r.number != c.attempt {
-			return fmt.Sprintf("attempt %d is or can start on machine %s, and its holder does not know it", c.attempt, exName(c.worker))
+			return fmt.Sprintf("attempt %d is or can start on machine %s, and its holder does not know it", c.attempt, modelWorkerName(c.worker))
 		}
 	}
 	return ""
@@ -553,12 +553,12 @@
 			p("<%s %d %d %d %v>", r.Machine, r.Session, rank(r.Sequence), r.FencingToken, r.Tasks)
 		}
 	}
-	p("%v%v%d%d%d%d%v|", x.cancelled, x.taskDone, x.sent, x.ends, x.expires, x.terms, x.bounds)
+	p("%v%v%d%d%d%d%v|", x.cancelled, x.taskDone, x.sent, x.ends, x.expires, x.lastToken, x.bounds)
 	for i, w := range x.workers {
-		p("%d %d %d %v%v%v%v%v", w.token, w.session, rank(w.sequence), w.tasks, w.awaitsAnswer, w.renewed, w.toldOfCancel, w.answeredAfterCancel)
+		p("%d %d %d %v%v%v%v%v", w.token, w.session, rank(w.sequence), w.tasks, w.awaitsAnswer, w.renewed, w.renewedAfterCancel, w.answeredAfterCancel)
 		rep(w.report)
 		if w.answer != nil {
-			p("ans%d%s", w.answer.FencingToken, exOrders(w.answer.Commands))
+			p("ans%d%s", w.answer.FencingToken, formatCommands(w.answer.Commands))
 		}
 		s, m := x.machineOf(i)
 		if m == nil {
@@ -572,7 +572,7 @@
 		p("%d]", m.fenceToken)
 	}
 	for _, d := range x.direct {
-		p("D%d %d %d %v %v%s %v", d.to, d.payload.FencingToken, d.payload.Session, d.givenUp, d.message.tracker, exOrders(d.payload.Commands), d.holder == x.holder)
+		p("D%d %d %d %v %v%s %v", d.to, d.payload.FencingToken, d.payload.Session, d.timedOut, d.message.tracker, formatCommands(d.payload.Commands), d.holder == x.holder)
 		if d.reply != nil {
 			p("%d", d.reply.Outcome)
 			rep(d.reply.Report)
@@ -586,7 +586,7 @@
 	return b.String()
 }
 
-func exOrders(orders []protocol.Command) string {
+func formatCommands(orders []protocol.Command) string {
 	var list []string
 	for _, o := range orders {
 		list = append(list, fmt.Sprint(o.Verb, o.Task, o.Attempt))
@@ -597,7 +597,7 @@
 // explore plays all orders of events breadth first until so many states are
 // known, or all. A state is reached by playing its events from the beginning:
 // the real code can't be copied.
-func explore(g dispatch.DisabledGuards, b exBounds, fault exFault, maxStates int) (states int, trace []string, violation string) {
+func explore(g dispatch.DisabledGuards, b searchBounds, fault holderFault, maxStates int) (states int, trace []string, violation string) {
 	seen := map[string]bool{}
 	play := func(events []string) *explorer {
 		x := newExplorer(g, b, fault)
@@ -634,20 +634,20 @@
 	maxStates := 4000
 	fmt.Sscan(os.Getenv("REEDTRACK_EXPLORE"), &maxStates)
 	for name, c := range map[string]struct {
-		bounds exBounds
+		bounds searchBounds
 		guards dispatch.DisabledGuards // left out to show that the explorer notices
-		fault  exFault                 // likewise
+		fault  holderFault             // likewise
 	}{
-		"messages lost and late": {exBounds{sent: 2, attempts: 2, ends: 1, late: 1}, dispatch.WithoutBinding, faultNone},
-		"answer lost":            {exBounds{sent: 1, emptyMessages: 1, attempts: 2}, dispatch.WithoutResponseOrder, faultNone},
-		"ended early":            {exBounds{sent: 1, attempts: 2, ends: 1}, dispatch.WithoutMemory, faultNone},
-		"cancelled":              {exBounds{sent: 1, attempts: 1, cancel: 1, ends: 1}, dispatch.WithoutStartBeforeStop, faultNone},
-		"stopped":                {exBounds{sent: 2, attempts: 2, stop: 1}, dispatch.WithoutMemory, faultNone},
-		"failover":               {exBounds{sent: 2, attempts: 2, failovers: 1, ends: 1}, 0, faultTrusting},
-		"machine released":       {exBounds{sent: 1, attempts: 2, releases: 1, ends: 1}, 0, faultHastyRelease},
-		"proxy answers":          {exBounds{sent: 1, attempts: 2, cancel: 1, proxyAnswers: 2}, 0, faultHastyProxy},
-		"fenced":                 {exBounds{sent: 1, attempts: 2, cancel: 1, proxyAnswers: 2, fences: 1}, 0, faultHastyProxy},
-		"lease expired":          {exBounds{sent: 1, attempts: 2, expires: 1, ends: 1}, 0, faultImpatient},
+		"messages lost and late": {searchBounds{sent: 2, attempts: 2, ends: 1, late: 1}, dispatch.WithoutBinding, faultNone},
+		"answer lost":            {searchBounds{sent: 1, emptyMessages: 1, attempts: 2}, dispatch.WithoutResponseOrder, faultNone},
+		"ended early":            {searchBounds{sent: 1, attempts: 2, ends: 1}, dispatch.WithoutMemory, faultNone},
+		"cancelled":              {searchBounds{sent: 1, attempts: 1, cancel: 1, ends: 1}, dispatch.WithoutStartBeforeStop, faultNone},
+		"stopped":                {searchBounds{sent: 2, attempts: 2, stop: 1}, dispatch.WithoutMemory, faultNone},
+		"failover":               {searchBounds{sent: 2, attempts: 2, failovers: 1, ends: 1}, 0, faultSkipsReconciliation},
+		"machine released":       {searchBounds{sent: 1, attempts: 2, releases: 1, ends: 1}, 0, faultReleasesNonEmpty},
+		"proxy answers":          {searchBounds{sent: 1, attempts: 2, cancel: 1, proxyAnswers: 2}, 0, faultProxyDuringStart},
+		"fenced":                 {searchBounds{sent: 1, attempts: 2, cancel: 1, proxyAnswers: 2, fences: 1}, 0, faultProxyDuringStart},
+		"lease expired":          {searchBounds{sent: 1, attempts: 2, expires: 1, ends: 1}, 0, faultEarlyExpiry},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
--- a/internal/coordination/outage_gap_test.go
+++ b/internal/coordination/outage_gap_test.go
@@ -19,22 +19,22 @@
 // outageGap is one way in which the store refuses a controller alone and then
 // everybody.
 type outageGap struct {
-	between        time.Duration // from the refusal to the outage
-	outage         time.Duration
-	target         faultTarget // whom the store refuses
-	leaderHoldsAll bool        // the leader has all machines, else another controller has
-	alongside      faultKind   // what else goes on
+	outageDelay     time.Duration // from the refusal to the outage
+	outage          time.Duration
+	target          faultTarget // whom the store refuses
+	leaderHoldsAll  bool        // the leader has all machines, else another controller has
+	concurrentFault faultKind   // what else goes on
 }
 
 func (g outageGap) String() string {
-	return fmt.Sprintf("%v, out for %v, %s refused, leader holds %v, %s", g.between, g.outage, g.target, g.leaderHoldsAll, g.alongside)
+	return fmt.Sprintf("%v, out for %v, %s refused, leader holds %v, %s", g.outageDelay, g.outage, g.target, g.leaderHoldsAll, g.concurrentFault)
 }
 
 // makeLeader makes the controller with the most work the leader, or another
 // one.
 func (w *world) makeLeader(busiest bool) {
 	for range 100 {
-		if l := w.leader(); l >= 0 && (l == w.targets(theBusiest)[0]) == busiest {
+		if l := w.leader(); l >= 0 && (l == w.targets(targetBusiest)[0]) == busiest {
 			return
 		}
 		raw, _ := json.Marshal(protocol.Txn{Preconditions: []protocol.Precondition{}, Writes: []protocol.Write{{Delete: storage.LeaderKey}}})
@@ -83,23 +83,23 @@
 	for _, i := range w.targets(g.target) {
 		w.nodes[i].cutFromUsers = true
 	}
-	long := g.between + g.outage
+	long := g.outageDelay + g.outage
 	w.runScript([]fault{
 		{kind: storeRefusesOne, target: g.target, duration: long},
-		{at: g.between, kind: storeOutage, duration: g.outage},
+		{at: g.outageDelay, kind: storeOutage, duration: g.outage},
 	})
-	switch g.alongside {
+	switch g.concurrentFault {
 	case machinesHang:
 		w.injectFault(fault{kind: machinesHang, duration: 15 * time.Second, count: 5})
 	case machinesCannotSend, machinesCannotReceive, directSlow, txnAnswersLost, heartbeatCopiesLate, txnsLate:
-		w.injectFault(fault{kind: g.alongside, duration: long, count: 5, share: 0.5})
+		w.injectFault(fault{kind: g.concurrentFault, duration: long, count: 5, share: 0.5})
 	case controllerPauses: // from before the refusal to a while after
-		w.injectFault(fault{kind: controllerPauses, target: g.target, duration: min(g.between+time.Second, 6*time.Second)})
+		w.injectFault(fault{kind: controllerPauses, target: g.target, duration: min(g.outageDelay+time.Second, 6*time.Second)})
 	}
 	// One a twelfth of the gap, the first before it begins.
 	for k, u := range users {
 		w.spawn(func() {
-			time.Sleep(g.between * time.Duration(k) / time.Duration(len(users)))
+			time.Sleep(g.outageDelay * time.Duration(k) / time.Duration(len(users)))
 			u.cancelUntilConfirmed()
 		})
 	}
@@ -116,8 +116,8 @@
 func outageGaps(lease time.Duration) []outageGap {
 	times := []time.Duration{0, 100 * time.Millisecond, 500 * time.Millisecond, 1500 * time.Millisecond, 2 * time.Second, 5 * time.Second,
 		lease - 200*time.Millisecond, lease + 200*time.Millisecond}
-	outages := []time.Duration{12 * time.Second, 60 * time.Second}                                             // shorter and longer than cancel_s
-	roles := []outageGap{{target: theLeader, leaderHoldsAll: true}, {target: theLeader}, {target: theBusiest}} // both, leader alone, holder alone
+	outages := []time.Duration{12 * time.Second, 60 * time.Second}                                                      // shorter and longer than cancel_s
+	roles := []outageGap{{target: targetLeader, leaderHoldsAll: true}, {target: targetLeader}, {target: targetBusiest}} // both, leader alone, holder alone
 	beside := []faultKind{"nothing else", machinesHang, machinesCannotSend, directSlow, controllerPauses, txnAnswersLost, txnsLate, machinesCannotReceive, heartbeatCopiesLate}
 	var list []outageGap
 	for i, d := range times {
@@ -127,7 +127,7 @@
 					if !*all && (i+k+2*r+b)%len(beside) > 1 {
 						continue
 					}
-					list = append(list, outageGap{between: d, outage: out, target: role.target, leaderHoldsAll: role.leaderHoldsAll, alongside: kind})
+					list = append(list, outageGap{outageDelay: d, outage: out, target: role.target, leaderHoldsAll: role.leaderHoldsAll, concurrentFault: kind})
 				}
 			}
 		}
@@ -151,7 +151,7 @@
 				var w *world
 				synctest.Test(t, func(t *testing.T) { w = g.play(t, uint64(i+1), nil) })
 				w.check(t)
-				if len(w.events["confirmed"]) == 0 && g.between >= time.Second {
+				if len(w.events["confirmed"]) == 0 && g.outageDelay >= time.Second {
 					t.Error("nothing was confirmed")
 				}
 				reached <- len(w.events["confirmed while a controller is refused"]) > 0
@@ -186,7 +186,7 @@
 // detected by the same runs.
 func TestRefusedHolderIsDetected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		g := outageGap{between: 2 * time.Second, outage: 60 * time.Second, target: theLeader, leaderHoldsAll: true}
+		g := outageGap{outageDelay: 2 * time.Second, outage: 60 * time.Second, target: targetLeader, leaderHoldsAll: true}
 		w := g.play(t, 1, func(n *Node) { n.timing.LeaseValidity = time.Hour })
 		if len(w.violations) == 0 {
 			t.Errorf("not noticed; the longest was %v", w.longestAfterCancel)
--- a/internal/coordination/questions_test.go
+++ b/internal/coordination/questions_test.go
@@ -38,15 +38,15 @@
 	return l.RoundTripper.RoundTrip(r)
 }
 
-// questionCounts counts the questions of users by how they were answered.
-type questionCounts struct {
+// queryCounts counts the questions of users by how they were answered.
+type queryCounts struct {
 	answered atomic.Int64 // as expected: the job is pending
 	refused  atomic.Int64
 	late     atomic.Int64 // answered or refused when the user no longer waits
 }
 
-// ask asks a controller for the status of a pending job.
-func (c *questionCounts) ask(ctx context.Context, n *Node, id string, timeout time.Duration) {
+// query asks a controller for the status of a pending job.
+func (c *queryCounts) query(ctx context.Context, n *Node, id string, timeout time.Duration) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	askedAt := time.Now()
@@ -94,21 +94,21 @@
 		for i := range w.nodes {
 			settings := *w.settings
 			settings.HostName = w.nodes[i].name
-			link := rateLimitedTransport{&simStoreLink{s: w.store, rnd: rand.New(rand.NewPCG(1, uint64(i)))}, limit, &sent}
+			link := rateLimitedTransport{&simStoreLink{store: w.store, random: rand.New(rand.NewPCG(1, uint64(i)))}, limit, &sent}
 			n := w.newNode(i, &settings, settings.Defaults(), storage.NewClientWithTransport(link, requestsPerSecond, 100, 3), nil)
 			nodes = append(nodes, n)
 			w.spawn(func() { n.Run(w.ctx) })
 		}
 		time.Sleep(10 * time.Second)
 
-		var regular questionCounts
+		var regular queryCounts
 		sentBefore := sent.Load()
 		var users sync.WaitGroup
 		for i := range liveJobs {
 			users.Go(func() {
 				time.Sleep(time.Duration(i) * interval / liveJobs)
 				for k := range rounds {
-					regular.ask(w.ctx, nodes[(i+k)%3], jobID(i), userTimeout)
+					regular.query(w.ctx, nodes[(i+k)%3], jobID(i), userTimeout)
 					time.Sleep(interval)
 				}
 			})
@@ -121,11 +121,11 @@
 			t.Errorf("%d requests for %d questions", used, rounds*liveJobs)
 		}
 
-		var atOnce questionCounts
+		var atOnce queryCounts
 		for i := range burst {
 			users.Go(func() {
 				time.Sleep(time.Duration(i) * time.Second / burst)
-				atOnce.ask(w.ctx, nodes[0], jobID(i%liveJobs), userTimeout)
+				atOnce.query(w.ctx, nodes[0], jobID(i%liveJobs), userTimeout)
 			})
 		}
 		users.Wait()
--- a/internal/coordination/scenarios_test.go
+++ b/internal/coordination/scenarios_test.go
@@ -51,7 +51,7 @@
 func cancelFaults(count int, hang time.Duration, at ...time.Duration) []fault {
 	var list []fault
 	for _, t := range at {
-		list = append(list, fault{at: t, kind: cancelRunningJobs, count: count, hangFor: hang})
+		list = append(list, fault{at: t, kind: cancelRunningJobs, count: count, hangDuration: hang})
 	}
 	return list
 }
@@ -72,95 +72,95 @@
 
 var scenarios = []scenario{
 	{name: "the state service answers slowly, or refuses the leader alone and then everybody for longer than cancel_s, while users cancel and ask",
-		detects: detection{guardActing, "ran_cancelled", false},
+		detects: detection{guardLeaseValidity, "ran_cancelled", false},
 		jobs:    12, adjustJob: longJobs(120),
 		script: append(cancelFaults(3, 0, 60200*time.Millisecond, 61*sec),
 			fault{at: 30 * sec, kind: storeSlow, duration: 25 * sec},
-			fault{at: 60 * sec, kind: storeRefusesOne, target: theLeader, duration: 60 * sec},
+			fault{at: 60 * sec, kind: storeRefusesOne, target: targetLeader, duration: 60 * sec},
 			fault{at: 63 * sec, kind: storeOutage, duration: 55 * sec}),
 		requiredEvents: map[string]int{"the state service takes seconds": 5, "confirmed while a controller is refused": 2, "confirmed while it runs": 2}},
 	{name: "a transaction without an answer is carried out late, after newer ones of the same controller",
-		detects:        detection{guardConditions, "", true},
+		detects:        detection{guardPreconditions, "", true},
 		script:         []fault{{at: 15 * sec, kind: txnsLate, share: 0.35, duration: 90 * sec}, {at: 15 * sec, kind: concurrentReads, duration: 90 * sec}},
 		requiredEvents: map[string]int{"late write done behind a newer one": 2, "late write refused behind a newer one": 2}},
 	{name: "all controllers are away for longer than lease_s",
-		detects: detection{guardLease, "ran_twice", false},
+		detects: detection{guardWorkerLease, "ran_twice", false},
 		jobs:    12, adjustJob: longJobs(60),
-		script:         append(cancelFaults(4, 0, 59*sec), fault{at: 60 * sec, kind: controllerEnds, target: everybody, duration: 26 * sec}),
+		script:         append(cancelFaults(4, 0, 59*sec), fault{at: 60 * sec, kind: controllerEnds, target: targetAll, duration: 26 * sec}),
 		requiredEvents: map[string]int{"all away for a lease": 1, "confirmed while it runs": 1}},
 	{name: "a team is at its limit when the leader changes, some of its machines can't be asked, and a cancellation falls into that spell",
-		detects: detection{guardLease, "ran_twice", false},
+		detects: detection{guardWorkerLease, "ran_twice", false},
 		setUp:   tightQuotas, jobs: 12, adjustJob: longJobs(90),
 		script: append(cancelFaults(2, 0, 58*sec, 61*sec, 64*sec, 67*sec, 70*sec, 73*sec),
 			fault{at: 55 * sec, kind: machinesCannotSend, count: 2, duration: 15 * sec},
 			fault{at: 57 * sec, kind: zoneIsolated, zone: "b", duration: 25 * sec},
-			fault{at: 60 * sec, kind: controllerEnds, target: theLeader, duration: 30 * sec}),
+			fault{at: 60 * sec, kind: controllerEnds, target: targetLeader, duration: 30 * sec}),
 		requiredEvents: map[string]int{"another leads": 1, "confirmed while its machine is cut off": 1},
 		eventPairs:     []eventPair{{"another leads", "confirmed while its machine is cut off", 20 * sec}, {"red is at its limit", "another leads", 60 * sec}}},
 	{name: "there is more work than room, urgent and not, over slow links",
-		detects: detection{guardLease, "ran_twice", false}, jobs: 60,
+		detects: detection{guardWorkerLease, "ran_twice", false}, jobs: 60,
 		adjustJob:      func(k int, j *protocol.Job, u *user) { u.submitAfter = min(u.submitAfter, 50*sec) },
 		script:         append(cancelFaults(3, 0, 50*sec, 70*sec), fault{at: 20 * sec, kind: heartbeatsSlow, duration: 90 * sec}),
 		requiredEvents: map[string]int{"a slow link": 100, "confirmed": 10}},
 	{name: "jobs of two or three tasks end far apart across a change of leader",
-		detects: detection{guardLease, "ran_twice", false},
+		detects: detection{guardWorkerLease, "ran_twice", false},
 		adjustJob: func(k int, j *protocol.Job, u *user) {
 			if !j.IsService() {
 				j.Tasks, j.EstimatedSeconds = 2+k%2, 60
 			}
 		},
-		script: []fault{{at: 50 * sec, kind: controllerEnds, target: theLeader, duration: 500 * time.Millisecond}, {at: 75 * sec, kind: controllerEnds, target: theLeader, duration: 20 * sec},
-			{at: 110 * sec, kind: controllerEnds, target: theBusiest, duration: 20 * sec}},
+		script: []fault{{at: 50 * sec, kind: controllerEnds, target: targetLeader, duration: 500 * time.Millisecond}, {at: 75 * sec, kind: controllerEnds, target: targetLeader, duration: 20 * sec},
+			{at: 110 * sec, kind: controllerEnds, target: targetBusiest, duration: 20 * sec}},
 		requiredEvents: map[string]int{"another leads": 2, "tasks of a job end far apart across a change of leader": 3}},
 	{name: "an old report arrives after newer ones, also from an earlier session or attempt",
-		detects: detection{guardOrder, "", true},
+		detects: detection{guardHeartbeatOrder, "", true},
 		script: []fault{{at: 10 * sec, kind: heartbeatCopiesLate, share: 0.5, duration: 100 * sec}, {at: 40 * sec, kind: machinesCannotSend, count: 4, duration: 25 * sec},
-			{at: 80 * sec, kind: controllerEnds, target: theBusiest, duration: 300 * time.Millisecond}},
+			{at: 80 * sec, kind: controllerEnds, target: targetBusiest, duration: 300 * time.Millisecond}},
 		requiredEvents: map[string]int{"copy of a report": 50, "copy of a report, a lease later": 10, "copy of a report of an earlier session": 2}},
 	{name: "a transaction is carried out at once and only its answer is lost, while other nodes read what it wrote",
-		detects:        detection{guardReads, "went_back", false},
+		detects:        detection{guardCurrentReads, "went_back", false},
 		script:         []fault{{at: 5 * sec, kind: txnAnswersLost, share: 0.4, duration: 100 * sec}, {at: 5 * sec, kind: concurrentReads, duration: 100 * sec}},
 		requiredEvents: map[string]int{"answer lost done": 20, "close look": 10, "a submission without an answer was accepted, as another finds": 2}},
 	{name: "every team is at its limit while jobs are cancelled whose machines are cut off or hang, and the leader changes",
-		detects: detection{guardLease, "quota", true},
+		detects: detection{guardWorkerLease, "quota", true},
 		setUp:   tightQuotas, jobs: 12, adjustJob: longJobs(90),
 		script: append(cancelFaults(3, 14*sec, 57*sec, 61*sec, 66*sec),
 			fault{at: 55 * sec, kind: zoneIsolated, zone: "b", duration: 20 * sec},
-			fault{at: 60 * sec, kind: controllerEnds, target: theLeader, duration: 25 * sec}),
+			fault{at: 60 * sec, kind: controllerEnds, target: targetLeader, duration: 25 * sec}),
 		requiredEvents: map[string]int{"another leads": 1, "confirmed while its machine hangs": 1, "red is at its limit": 1, "blue is at its limit": 1},
 		eventPairs:     []eventPair{{"confirmed while its machine hangs", "another leads", 20 * sec}}},
 	{name: "workers can't open connections to any controller, while direct commands still reach them",
-		detects:        detection{guardBinding, "", false},
+		detects:        detection{guardUnansweredStart, "", false},
 		script:         append(cancelFaults(3, 0, 50*sec, 60*sec), fault{at: 45 * sec, kind: machinesCannotSend, count: 8, duration: 35 * sec}),
 		requiredEvents: map[string]int{"direct command to a mute machine": 1}},
 	{name: "one-task jobs come four a second for minutes, a quarter of them cancelled, and the largest begin within four minutes",
-		detects: detection{guardBinding, "ran_twice", false}, jobs: 480,
+		detects: detection{guardUnansweredStart, "ran_twice", false}, jobs: 480,
 		setUp: func(w *world) { w.allowMachines(60) },
 		adjustJob: func(k int, j *protocol.Job, u *user) {
 			j.Type, j.Tasks, j.OneZone, j.Spread = "array", 1, false, false
 			u.submitAfter, u.cancels, u.cancelAfter = time.Duration(k)*sec/4, k%4 == 0, time.Duration(k%7)*sec/2
 			if k%60 == 59 { // a large one now and then
-				j.Tasks, j.Cores, u.cancels = largeJob, 3, false
+				j.Tasks, j.Cores, u.cancels = largeJobTasks, 3, false
 			}
 		},
-		check:          func(w *world) string { return w.lateStart(largeJob, 4*time.Minute) },
-		script:         []fault{{at: 60 * sec, kind: controllerEnds, target: theLeader, duration: 300 * time.Millisecond}},
+		check:          func(w *world) string { return w.lateStart(largeJobTasks, 4*time.Minute) },
+		script:         []fault{{at: 60 * sec, kind: controllerEnds, target: targetLeader, duration: 300 * time.Millisecond}},
 		requiredEvents: map[string]int{"confirmed": 30, "another leads": 1}},
 	{name: "controllers hand over and back, all end, and one returns, also within a second",
-		detects: detection{guardLease, "ran_twice", false},
-		script: []fault{{at: 40 * sec, kind: controllerEnds, target: theLeader, duration: 900 * time.Millisecond}, {at: 44 * sec, kind: controllerEnds, target: theBusiest, duration: 900 * time.Millisecond},
-			{at: 60 * sec, kind: controllerEnds, target: theRest, duration: 25 * sec}, {at: 60100 * time.Millisecond, kind: controllerEnds, target: theLeader, duration: 400 * time.Millisecond},
-			{at: 100 * sec, kind: controllerEnds, target: everybody, duration: 300 * time.Millisecond}},
+		detects: detection{guardWorkerLease, "ran_twice", false},
+		script: []fault{{at: 40 * sec, kind: controllerEnds, target: targetLeader, duration: 900 * time.Millisecond}, {at: 44 * sec, kind: controllerEnds, target: targetBusiest, duration: 900 * time.Millisecond},
+			{at: 60 * sec, kind: controllerEnds, target: targetNonLeaders, duration: 25 * sec}, {at: 60100 * time.Millisecond, kind: controllerEnds, target: targetLeader, duration: 400 * time.Millisecond},
+			{at: 100 * sec, kind: controllerEnds, target: targetAll, duration: 300 * time.Millisecond}},
 		requiredEvents: map[string]int{"another leads": 3, "one is up alone": 100}},
 	{name: "a leader ends while machines with long tasks can't be reached, or don't hear the new leader's answer",
-		detects: detection{guardLease, "ran_twice", true},
+		detects: detection{guardWorkerLease, "ran_twice", true},
 		jobs:    12, adjustJob: longJobs(120),
 		script: []fault{{at: 55 * sec, kind: machinesCannotReceive, count: 4, duration: 16 * sec}, {at: 58 * sec, kind: zoneIsolated, zone: "b", duration: 18 * sec},
-			{at: 60 * sec, kind: controllerEnds, target: theLeader, duration: 500 * time.Millisecond}, {at: 61 * sec, kind: controllerEnds, target: theBusiest, duration: 20 * sec}},
+			{at: 60 * sec, kind: controllerEnds, target: targetLeader, duration: 500 * time.Millisecond}, {at: 61 * sec, kind: controllerEnds, target: targetBusiest, duration: 20 * sec}},
 		requiredEvents: map[string]int{"report answered that a deaf machine sent": 3},
 		eventPairs:     []eventPair{{"another leads", "report answered that a deaf machine sent", 15 * sec}}},
 	{name: "jobs bound to one zone, arrays too, lose machines",
-		detects: detection{guardLease, "ran_twice", false},
+		detects: detection{guardWorkerLease, "ran_twice", false},
 		adjustJob: func(k int, j *protocol.Job, u *user) {
 			j.Spread, j.Zone, j.OneZone, j.MachineTypes = false, "", k%2 == 0, nil
 			if k%2 == 1 {
@@ -168,79 +168,79 @@
 			}
 		},
 		script: []fault{{at: 40 * sec, kind: machinesDie, count: 2}, {at: 55 * sec, kind: machinesReclaimed, count: 2, duration: 8 * sec}, {at: 70 * sec, kind: zoneIsolated, zone: "a", duration: 30 * sec},
-			{at: 75 * sec, kind: controllerEnds, target: theBusiest, duration: 20 * sec}, {at: 85 * sec, kind: machinesDie, count: 2}},
+			{at: 75 * sec, kind: controllerEnds, target: targetBusiest, duration: 20 * sec}, {at: 85 * sec, kind: machinesDie, count: 2}},
 		requiredEvents: map[string]int{"a job of one zone loses a machine": 2}},
 	{name: "new machines are up within two seconds and get work at once while writes lag, and the leader ends",
-		detects: detection{guardConditions, "", false},
+		detects: detection{guardPreconditions, "", false},
 		setUp:   func(w *world) { w.quickBoots = true },
-		script: []fault{{at: 1 * sec, kind: txnsLate, share: 0.4, duration: 110 * sec}, {at: 20 * sec, kind: machinesDie, count: 3}, {at: 22 * sec, kind: controllerEnds, target: theLeader, duration: 15 * sec},
-			{at: 50 * sec, kind: machinesDie, count: 3}, {at: 52 * sec, kind: controllerEnds, target: theLeader, duration: 200 * time.Millisecond}, {at: 80 * sec, kind: controllerEnds, target: theLeader, duration: 15 * sec}},
+		script: []fault{{at: 1 * sec, kind: txnsLate, share: 0.4, duration: 110 * sec}, {at: 20 * sec, kind: machinesDie, count: 3}, {at: 22 * sec, kind: controllerEnds, target: targetLeader, duration: 15 * sec},
+			{at: 50 * sec, kind: machinesDie, count: 3}, {at: 52 * sec, kind: controllerEnds, target: targetLeader, duration: 200 * time.Millisecond}, {at: 80 * sec, kind: controllerEnds, target: targetLeader, duration: 15 * sec}},
 		requiredEvents: map[string]int{"work on a machine that has just come up": 3, "another leads": 2, "late write refused behind a newer one": 1}},
 	{name: "a command or its answer is held up for seconds, and the machine then goes on",
-		detects:        detection{guardBinding, "ran_twice", true},
+		detects:        detection{guardUnansweredStart, "ran_twice", true},
 		script:         append(cancelFaults(3, 6*sec, 40*sec, 60*sec, 80*sec), fault{at: 15 * sec, kind: directSlow, duration: 100 * sec}, fault{at: 50 * sec, kind: machinesHang, count: 4, duration: 7 * sec}),
 		requiredEvents: map[string]int{"direct command held for seconds": 3}},
 	{name: "users ask at all nodes, again and again within milliseconds, and repeat the submission, right after a job was accepted, ended or confirmed as cancelled",
-		detects:        detection{guardReads, "went_back", true},
+		detects:        detection{guardCurrentReads, "went_back", true},
 		script:         append(cancelFaults(3, 0, 40*sec, 60*sec, 80*sec), fault{kind: concurrentReads, duration: 120 * sec}, fault{at: 10 * sec, kind: invalidRequests, duration: 100 * sec}),
 		requiredEvents: map[string]int{"close look": 20, "confirmed": 3, "odd request refused": 10}},
 	{name: "a leader is cut from the state service and from the other controllers while workers and users still reach it, and jobs are cancelled through the new one",
-		detects: detection{guardActing, "started_cancelled", false},
+		detects: detection{guardLeaseValidity, "started_cancelled", false},
 		jobs:    12, adjustJob: longJobs(120),
-		script:         append(cancelFaults(2, 0, 61*sec, 65*sec, 72*sec, 80*sec), fault{at: 60 * sec, kind: controllerIsolated, target: theLeader, duration: 50 * sec}),
+		script:         append(cancelFaults(2, 0, 61*sec, 65*sec, 72*sec, 80*sec), fault{at: 60 * sec, kind: controllerIsolated, target: targetLeader, duration: 50 * sec}),
 		requiredEvents: map[string]int{"another leads": 1, "confirmed while a controller is refused": 3},
 		eventPairs:     []eventPair{{"another leads", "confirmed while a controller is refused", 20 * sec}}},
 	{name: "a zone with workers and a controller is cut off for longer than lease_s",
-		detects: detection{guardActing, "started_cancelled", false},
+		detects: detection{guardLeaseValidity, "started_cancelled", false},
 		jobs:    12, adjustJob: longJobs(100),
-		script:         append(cancelFaults(2, 0, 58*sec, 64*sec, 75*sec), fault{at: 60 * sec, kind: zoneIsolatedWithController, target: theBusiest, zone: "a", duration: 40 * sec}),
+		script:         append(cancelFaults(2, 0, 58*sec, 64*sec, 75*sec), fault{at: 60 * sec, kind: zoneIsolatedWithController, target: targetBusiest, zone: "a", duration: 40 * sec}),
 		requiredEvents: map[string]int{string(zoneIsolatedWithController) + ": over": 1, "confirmed": 2}},
 	{name: "a cancellation, a question or a repeated submission meets the end of a job's last task, with no other trouble",
-		detects:        detection{guardConditions, "went_back", false},
+		detects:        detection{guardPreconditions, "went_back", false},
 		setUp:          func(w *world) { w.txnFailureRate = 0 },
 		adjustJob:      func(k int, j *protocol.Job, u *user) { u.cancels = u.cancels && j.IsService() },
 		script:         []fault{{kind: cancelEndingJobs, share: 0.7, duration: 120 * sec}, {kind: concurrentReads, duration: 120 * sec}},
 		requiredEvents: map[string]int{"cancelled as it ends": 5, "close look": 10}},
 	{name: "leaders change ten times in two minutes, also inside an outage",
-		detects:        detection{guardLease, "ran_twice", false},
+		detects:        detection{guardWorkerLease, "ran_twice", false},
 		script:         append(cancelFaults(2, 0, 50*sec, 75*sec), fault{at: 20 * sec, kind: leaderChanges, count: 12, duration: 120 * sec}, fault{at: 70 * sec, kind: storeOutage, duration: 14 * sec}),
 		requiredEvents: map[string]int{"another leads": 9}},
 	{name: "an old report reaches every controller just as a new leader begins",
-		detects:        detection{guardTerm, "", true},
-		script:         []fault{{at: 30 * sec, kind: heartbeatCopiesForNextLeader, share: 0.6, duration: 80 * sec}, {at: 60 * sec, kind: controllerEnds, target: theLeader, duration: 15 * sec}, {at: 95 * sec, kind: controllerEnds, target: theLeader, duration: 300 * time.Millisecond}},
+		detects:        detection{guardFencingToken, "", true},
+		script:         []fault{{at: 30 * sec, kind: heartbeatCopiesForNextLeader, share: 0.6, duration: 80 * sec}, {at: 60 * sec, kind: controllerEnds, target: targetLeader, duration: 15 * sec}, {at: 95 * sec, kind: controllerEnds, target: targetLeader, duration: 300 * time.Millisecond}},
 		requiredEvents: map[string]int{"kept report as another begins to lead": 30}},
 	{name: "jobs are cancelled in the seconds in which one controller's work changes hands",
-		detects: detection{guardLease, "ran_twice", false},
+		detects: detection{guardWorkerLease, "ran_twice", false},
 		jobs:    12, adjustJob: longJobs(120),
-		script:         append(cancelFaults(2, 0, 59900*time.Millisecond, 60500*time.Millisecond, 62*sec, 64*sec, 66*sec, 68*sec, 70*sec, 72*sec), fault{at: 60 * sec, kind: controllerEnds, target: theBusiest, duration: 30 * sec}),
+		script:         append(cancelFaults(2, 0, 59900*time.Millisecond, 60500*time.Millisecond, 62*sec, 64*sec, 66*sec, 68*sec, 70*sec, 72*sec), fault{at: 60 * sec, kind: controllerEnds, target: targetBusiest, duration: 30 * sec}),
 		requiredEvents: map[string]int{"confirmed while a controller is away": 4, "confirmed while it runs": 4}},
 	{name: "jobs are cancelled at the very moment at which the state service refuses the leader alone, and a second later it is out for longer than cancel_s",
-		detects: detection{guardActing, "ran_", true},
+		detects: detection{guardLeaseValidity, "ran_", true},
 		jobs:    12, adjustJob: longJobs(120),
-		script: append(cancelFaults(6, 0, 60*sec), fault{at: 60 * sec, kind: storeRefusesOne, target: theLeader, duration: 60 * sec},
+		script: append(cancelFaults(6, 0, 60*sec), fault{at: 60 * sec, kind: storeRefusesOne, target: targetLeader, duration: 60 * sec},
 			fault{at: 61 * sec, kind: storeOutage, duration: 55 * sec}),
 		requiredEvents: map[string]int{"confirmed while a controller is refused": 1}},
 	{name: "a report is held back until a new leader has acted, and then arrives there",
-		detects: detection{guardTerm, "", true},
+		detects: detection{guardFencingToken, "", true},
 		script: []fault{{at: 30 * sec, kind: heartbeatCopiesForNextLeader, share: 0.6, duration: 80 * sec}, {at: 55 * sec, kind: machinesHang, count: 3, duration: 10 * sec},
-			{at: 60 * sec, kind: controllerEnds, target: theLeader, duration: 15 * sec}, {at: 62 * sec, kind: controllerEnds, target: theBusiest, duration: 400 * time.Millisecond}},
+			{at: 60 * sec, kind: controllerEnds, target: targetLeader, duration: 15 * sec}, {at: 62 * sec, kind: controllerEnds, target: targetBusiest, duration: 400 * time.Millisecond}},
 		requiredEvents: map[string]int{"kept report after the new leader acted": 30}},
 	{name: "a command of a leader that has since ended or been deposed arrives after the new leader's",
-		detects: detection{guardLease, "ran_twice", false},
+		detects: detection{guardWorkerLease, "ran_twice", false},
 		jobs:    100, setUp: func(w *world) { w.allowMachines(24); w.maxTasks = 6 },
 		adjustJob: func(k int, j *protocol.Job, u *user) { u.submitAfter = time.Duration(k) * sec },
-		script: []fault{{at: 20 * sec, kind: directLate, share: 0.4, duration: 115 * sec}, {at: 40 * sec, kind: controllerEnds, target: theBusiest, duration: 15 * sec},
-			{at: 65 * sec, kind: controllerEnds, target: theLeader, duration: 300 * time.Millisecond}, {at: 72 * sec, kind: controllerEnds, target: theBusiest, duration: 300 * time.Millisecond},
-			{at: 85 * sec, kind: controllerIsolated, target: theBusiest, duration: 25 * sec}},
+		script: []fault{{at: 20 * sec, kind: directLate, share: 0.4, duration: 115 * sec}, {at: 40 * sec, kind: controllerEnds, target: targetBusiest, duration: 15 * sec},
+			{at: 65 * sec, kind: controllerEnds, target: targetLeader, duration: 300 * time.Millisecond}, {at: 72 * sec, kind: controllerEnds, target: targetBusiest, duration: 300 * time.Millisecond},
+			{at: 85 * sec, kind: controllerIsolated, target: targetBusiest, duration: 25 * sec}},
 		requiredEvents: map[string]int{"late command arrives after the next holder's": 2, "late command of a process that has ended refused": 1, "another leads": 1}},
 	{name: "the former holder's command arrives before the next holder's first has reached the machine",
-		detects: detection{guardLease, "ran_twice", false},
-		jobs:    40, script: []fault{{at: 20 * sec, kind: directLate, share: 0.8, maxDelay: 40 * sec, duration: 115 * sec}, {at: 40 * sec, kind: controllerEnds, target: theBusiest, duration: 15 * sec},
-			{at: 41 * sec, kind: machinesCannotSend, count: 8, duration: 20 * sec}, {at: 75 * sec, kind: controllerEnds, target: theBusiest, duration: 300 * time.Millisecond},
+		detects: detection{guardWorkerLease, "ran_twice", false},
+		jobs:    40, script: []fault{{at: 20 * sec, kind: directLate, share: 0.8, maxDelay: 40 * sec, duration: 115 * sec}, {at: 40 * sec, kind: controllerEnds, target: targetBusiest, duration: 15 * sec},
+			{at: 41 * sec, kind: machinesCannotSend, count: 8, duration: 20 * sec}, {at: 75 * sec, kind: controllerEnds, target: targetBusiest, duration: 300 * time.Millisecond},
 			{at: 75 * sec, kind: machinesCannotSend, count: 8, duration: 20 * sec}},
 		requiredEvents: map[string]int{"late command of a process that has ended carried out": 1}},
 	{name: "a start is held up for minutes, and its machine begins another session meanwhile",
-		detects: detection{guardBinding, "ran_twice", false},
+		detects: detection{guardUnansweredStart, "ran_twice", false},
 		jobs:    150, setUp: func(w *world) { w.allowMachines(24); w.maxTasks = 6 },
 		adjustJob: func(k int, j *protocol.Job, u *user) {
 			j.EstimatedSeconds, u.submitAfter = min(j.EstimatedSeconds, 15), time.Duration(k)*sec*2/3
@@ -256,30 +256,30 @@
 			fault{at: 25 * sec, kind: machinesHang, count: 4, duration: 6 * sec}, fault{at: 55 * sec, kind: machinesHang, count: 4, duration: 6 * sec}, fault{at: 85 * sec, kind: machinesHang, count: 4, duration: 6 * sec}),
 		requiredEvents: map[string]int{"late start of a cancelled job carried out": 1, "late start of a cancelled job on a machine that hung in between": 1}},
 	{name: "a late halt meets what came after the attempt that it was for",
-		detects: detection{guardLease, "ran_twice", false},
+		detects: detection{guardWorkerLease, "ran_twice", false},
 		jobs:    40, script: append(cancelFaults(3, 0, 30*sec, 50*sec, 70*sec, 90*sec),
 			fault{at: 10 * sec, kind: directLate, share: 0.9, verb: protocol.VerbStop, maxDelay: 30 * sec, duration: 120 * sec},
 			fault{at: 40 * sec, kind: machinesReclaimed, count: 2, duration: 10 * sec}, fault{at: 80 * sec, kind: machinesReclaimed, count: 2, duration: 10 * sec}),
 		requiredEvents: map[string]int{"late halt of an attempt that is not there any more": 2}},
 	{name: "a late start meets an attempt that has ended, on a machine that fails its tasks",
-		detects: detection{guardMemory, "", true},
+		detects: detection{guardAttemptRetention, "", true},
 		jobs:    40, script: []fault{{at: 10 * sec, kind: directLate, share: 0.7, maxDelay: 60 * sec, verb: protocol.VerbStart, duration: 120 * sec},
 			{at: 30 * sec, kind: machinesFailTasks, count: 3, duration: 60 * sec}, {at: 70 * sec, kind: machinesFailTasks, count: 3, duration: 40 * sec}},
 		requiredEvents: map[string]int{"late start of an attempt that has ended there": 3}},
 	{name: "late commands and reports that are kept for the next leader",
-		detects: detection{guardTerm, "", false},
+		detects: detection{guardFencingToken, "", false},
 		script: []fault{{at: 20 * sec, kind: directLate, share: 0.6, duration: 110 * sec}, {at: 30 * sec, kind: heartbeatCopiesForNextLeader, share: 0.6, duration: 80 * sec},
-			{at: 60 * sec, kind: controllerEnds, target: theLeader, duration: 15 * sec}, {at: 95 * sec, kind: controllerEnds, target: theLeader, duration: 300 * time.Millisecond}},
+			{at: 60 * sec, kind: controllerEnds, target: targetLeader, duration: 15 * sec}, {at: 95 * sec, kind: controllerEnds, target: targetLeader, duration: 300 * time.Millisecond}},
 		requiredEvents: map[string]int{"kept report as another begins to lead": 10, "late command carried out": 5},
 		eventPairs:     []eventPair{{"another leads", "late command carried out", 20 * sec}}},
 	{name: "late commands reach mute machines while teams are at their limit and jobs are cancelled",
-		detects: detection{guardBinding, "", false},
+		detects: detection{guardUnansweredStart, "", false},
 		setUp:   tightQuotas, jobs: 24, script: append(cancelFaults(2, 0, 45*sec, 55*sec, 65*sec, 75*sec),
 			fault{at: 10 * sec, kind: directLate, share: 0.8, duration: 120 * sec}, fault{at: 40 * sec, kind: machinesCannotSend, count: 6, duration: 16 * sec},
-			fault{at: 60 * sec, kind: machinesCannotSend, count: 6, duration: 16 * sec}, fault{at: 70 * sec, kind: controllerEnds, target: theLeader, duration: 15 * sec}),
+			fault{at: 60 * sec, kind: machinesCannotSend, count: 6, duration: 16 * sec}, fault{at: 70 * sec, kind: controllerEnds, target: targetLeader, duration: 15 * sec}),
 		requiredEvents: map[string]int{"late command to a mute machine carried out": 1, "red is at its limit": 1, "blue is at its limit": 1}},
 	{name: "a machine is returned by a late call and is still up as a late command arrives",
-		detects: detection{guardBinding, "", false},
+		detects: detection{guardUnansweredStart, "", false},
 		jobs:    40, adjustJob: func(k int, j *protocol.Job, u *user) { j.EstimatedSeconds = min(j.EstimatedSeconds, 6) },
 		script: append(cancelFaults(4, 0, 30*sec, 45*sec, 60*sec, 75*sec),
 			fault{at: 10 * sec, kind: directLate, share: 0.8, maxDelay: 60 * sec, duration: 120 * sec}, fault{at: 10 * sec, kind: cloudCallsLate, share: 0.9, duration: 130 * sec},
@@ -290,9 +290,9 @@
 		jobs:    16, adjustJob: inBothZones(100),
 		script:         append(cancelFaults(2, 0, 62*sec, 70*sec, 80*sec, 95*sec), fault{at: 60 * sec, kind: zonesSeparated, duration: 60 * sec}),
 		requiredEvents: map[string]int{"a heartbeat proxy answers": 20, "confirmed": 4, "a heartbeat proxy stops a task": 1},
-		check:          keptLeases},
+		check:          leaseExpiryViolation},
 	{name: "two zones can't reach each other, and jobs are cancelled whose machines hang and get commands late",
-		detects: detection{guardUnderWay, "", false},
+		detects: detection{guardStartsInFlight, "", false},
 		jobs:    100, setUp: func(w *world) { w.allowMachines(24); w.maxTasks = 6 },
 		adjustJob: func(k int, j *protocol.Job, u *user) {
 			inBothZones(20)(k, j, u)
@@ -305,28 +305,28 @@
 			fault{at: 10 * sec, kind: directLate, share: 0.7, maxDelay: 120 * sec, verb: protocol.VerbStart, duration: 120 * sec}),
 		requiredEvents: map[string]int{"a heartbeat proxy answers": 20, "late command carried out": 2, "late start of a cancelled job carried out": 1, "confirmed while its machine hangs": 1}},
 	{name: "two zones can't reach each other at the moment at which a shard changes holder",
-		detects: detection{guardDelegated, "ran_twice", true},
+		detects: detection{guardDelegatedMachines, "ran_twice", true},
 		jobs:    16, adjustJob: inBothZones(100),
-		script: append(cancelFaults(2, 0, 62*sec, 75*sec), fault{at: 60 * sec, kind: zonesSeparated, duration: 60 * sec}, fault{at: 60 * sec, kind: controllerEnds, target: theBusiest, duration: 6 * sec},
-			fault{at: 90 * sec, kind: controllerEnds, target: theBusiest, duration: 300 * time.Millisecond}),
+		script: append(cancelFaults(2, 0, 62*sec, 75*sec), fault{at: 60 * sec, kind: zonesSeparated, duration: 60 * sec}, fault{at: 60 * sec, kind: controllerEnds, target: targetBusiest, duration: 6 * sec},
+			fault{at: 90 * sec, kind: controllerEnds, target: targetBusiest, duration: 300 * time.Millisecond}),
 		requiredEvents: map[string]int{"a heartbeat proxy answers": 10, "confirmed": 2}},
 	{name: "a heartbeat proxy ends, stands still or is refused by the state service while two zones can't reach each other",
-		detects: detection{guardLease, "ran_twice", false},
+		detects: detection{guardWorkerLease, "ran_twice", false},
 		jobs:    16, adjustJob: inBothZones(100),
 		script: append(cancelFaults(2, 0, 65*sec, 75*sec, 95*sec), fault{at: 45 * sec, kind: zonesSeparated, duration: 80 * sec}, fault{at: 70 * sec, kind: storeRefusesOne, duration: 20 * sec},
-			fault{at: 74 * sec, kind: controllerPauses, target: theRest, duration: 8 * sec}, fault{at: 95 * sec, kind: controllerEnds, target: theRest, duration: 6 * sec}),
+			fault{at: 74 * sec, kind: controllerPauses, target: targetNonLeaders, duration: 8 * sec}, fault{at: 95 * sec, kind: controllerEnds, target: targetNonLeaders, duration: 6 * sec}),
 		requiredEvents: map[string]int{"a heartbeat proxy answers": 10, "confirmed": 2}},
 	{name: "two zones can't reach each other while teams are at their limit and the controllers are restarted one after the other",
 		detects: detection{guardProxyStops, "ran_cancelled", false},
 		setUp:   tightQuotas, jobs: 16, adjustJob: inBothZones(60),
-		script: append(cancelFaults(2, 0, 60*sec, 80*sec), fault{at: 50 * sec, kind: zonesSeparated, duration: 70 * sec}, fault{at: 60 * sec, kind: controllerEnds, target: theLeader, duration: sec},
-			fault{at: 75 * sec, kind: controllerEnds, target: theBusiest, duration: sec}, fault{at: 90 * sec, kind: controllerEnds, target: theRest, duration: sec}),
+		script: append(cancelFaults(2, 0, 60*sec, 80*sec), fault{at: 50 * sec, kind: zonesSeparated, duration: 70 * sec}, fault{at: 60 * sec, kind: controllerEnds, target: targetLeader, duration: sec},
+			fault{at: 75 * sec, kind: controllerEnds, target: targetBusiest, duration: sec}, fault{at: 90 * sec, kind: controllerEnds, target: targetNonLeaders, duration: sec}),
 		requiredEvents: map[string]int{"a heartbeat proxy answers": 5, "red is at its limit": 1, "blue is at its limit": 1}},
 	{name: "the line between two zones comes and goes, and old reports arrive at either",
-		detects: detection{guardLease, "ran_twice", false},
+		detects: detection{guardWorkerLease, "ran_twice", false},
 		jobs:    16, adjustJob: inBothZones(60),
 		script: []fault{{at: 40 * sec, kind: zonesSeparated, duration: 14 * sec}, {at: 60 * sec, kind: zonesSeparated, duration: 18 * sec}, {at: 85 * sec, kind: zonesSeparated, duration: 35 * sec},
-			{at: 20 * sec, kind: heartbeatCopiesLate, share: 0.4, duration: 120 * sec}, {at: 70 * sec, kind: controllerEnds, target: theBusiest, duration: 400 * time.Millisecond}},
+			{at: 20 * sec, kind: heartbeatCopiesLate, share: 0.4, duration: 120 * sec}, {at: 70 * sec, kind: controllerEnds, target: targetBusiest, duration: 400 * time.Millisecond}},
 		requiredEvents: map[string]int{"a heartbeat proxy answers": 5, "copy of a report": 50}},
 }
 
@@ -338,16 +338,16 @@
 	}
 }
 
-// keptLeases says whether a worker has dropped tasks because its lease expired.
-func keptLeases(w *world) string {
+// leaseExpiryViolation says whether a worker has dropped tasks because its lease expired.
+func leaseExpiryViolation(w *world) string {
 	if n := len(w.events["a worker's lease ends with a task on it"]); n > 0 {
 		return fmt.Sprintf("%d tasks dropped by the end of a lease", n)
 	}
 	return ""
 }
 
-// largeJob is how many tasks the largest jobs have beside those of one task.
-const largeJob = 9
+// largeJobTasks is how many tasks the largest jobs have beside those of one task.
+const largeJobTasks = 9
 
 // missingEvents says which faults did not meet.
 func (m *scenario) missingEvents(w *world) (missing []string) {
@@ -395,15 +395,15 @@
 	for _, why := range w.waiting.explanations {
 		t.Log(why)
 	}
-	if over := w.overBound(); over != "" {
+	if over := w.cancelBoundViolation(); over != "" {
 		t.Error(over)
 	}
 	w.checkLinearizable(t)
 }
 
-// overBound says whether a task was there for longer after its job was
+// cancelBoundViolation says whether a task was there for longer after its job was
 // cancelled than settings are checked by.
-func (w *world) overBound() string {
+func (w *world) cancelBoundViolation() string {
 	if bound := config.SumTerms(w.settings.CancelBound(w.settings.Defaults())); w.longestAfterCancel > bound {
 		return fmt.Sprintf("a task was there %v after its job was cancelled, over the bound of %v", w.longestAfterCancel, bound)
 	}
--- a/internal/coordination/schema_test.go
+++ b/internal/coordination/schema_test.go
@@ -127,7 +127,7 @@
 func TestSchemaNeedsAllVersionMarkers(t *testing.T) {
 	w := newWorld(1, nil)
 	var sent []protocol.Txn
-	n := New(w.settings, w.settings.Defaults(), storage.NewClientWithTransport(recorder{&sent}, 1000, 1000, 1), nil, nil, nil)
+	n := New(w.settings, w.settings.Defaults(), storage.NewClientWithTransport(txnRecorder{&sent}, 1000, 1000, 1), nil, nil, nil)
 	n.session.id, n.records.Leader.Value = 4, storage.Controller{Name: "n0", Session: 4}
 	n.apply(storage.VersionMarkerKey("n0"), []byte(`{"form":2}`), 7)
 	n.apply(storage.VersionMarkerKey("n1"), []byte(`{"form":2}`), 8)
--- a/internal/coordination/service_test.go
+++ b/internal/coordination/service_test.go
@@ -73,7 +73,7 @@
 		w.ctx = ctx
 		w.nodes = []*simNode{{name: "n0"}}
 		var n *Node
-		n = New(w.settings, w.settings.Defaults(), storage.NewClientWithTransport(&simStoreLink{s: w.store, rnd: rand.New(rand.NewPCG(1, 1))}, 300, 200, 1),
+		n = New(w.settings, w.settings.Defaults(), storage.NewClientWithTransport(&simStoreLink{store: w.store, random: rand.New(rand.NewPCG(1, 1))}, 300, 200, 1),
 			simCloud{w}, nil, func(_ context.Context, address string, d protocol.DirectCommands) DirectAnswer {
 				return w.direct(0, n, address, d)
 			})
--- a/internal/coordination/session_test.go
+++ b/internal/coordination/session_test.go
@@ -36,7 +36,7 @@
 // withoutFailures lets every answer arrive, and returns the controller's last
 // write of its own key.
 func (w *world) withoutFailures() []byte {
-	link := w.nodes[0].wire
+	link := w.nodes[0].storeLink
 	link.mu.Lock()
 	defer link.mu.Unlock()
 	link.failureRate = 0
@@ -169,7 +169,7 @@
 		stop := w.open()
 		w.maxMachines = 60
 		ended := false
-		w.afterRental = func() {
+		w.afterFirstRequest = func() {
 			for i := range w.nodes {
 				n := w.node(i)
 				n.mu.Lock()
@@ -191,7 +191,7 @@
 				ungranted[id] = true
 			}
 		}
-		running, requested := len(w.taskWorker), w.next
+		running, requested := len(w.taskWorker), w.lastMachineNumber
 		w.mu.Unlock()
 		n := w.node(0)
 		n.mu.Lock()
--- a/internal/coordination/sim_cloud_test.go
+++ b/internal/coordination/sim_cloud_test.go
@@ -16,7 +16,7 @@
 	time.Sleep(time.Duration(20+c.w.intn(80)) * time.Millisecond)
 	c.w.mu.Lock()
 	defer c.w.mu.Unlock()
-	if c.w.noCloud || c.w.random.IntN(50) == 0 {
+	if c.w.cloudUnavailable || c.w.random.IntN(50) == 0 {
 		return errors.New("trouble")
 	}
 	return nil
@@ -34,18 +34,18 @@
 	if late := w.cloudDelay(); late > 0 {
 		w.spawn(func() {
 			sleep(w.ctx, late)
-			c.rent(r)
+			c.createMachines(r)
 		})
 		return nil, errors.New("no answer")
 	}
-	return c.rent(r)
+	return c.createMachines(r)
 }
 
-// rent carries out a scale-out.
-func (c simCloud) rent(r protocol.MachineRequest) ([]string, error) {
+// createMachines carries out a scale-out.
+func (c simCloud) createMachines(r protocol.MachineRequest) ([]string, error) {
 	w := c.w
 	w.mu.Lock()
-	if got, ok := w.rentals[r.RequestID]; ok {
+	if got, ok := w.machinesByRequest[r.RequestID]; ok {
 		w.mu.Unlock()
 		return got, nil
 	}
@@ -54,8 +54,8 @@
 		if len(w.workers) >= w.maxMachines {
 			break
 		}
-		w.next++
-		m := &simWorker{w: w, id: fmt.Sprintf("host-%06d", w.next), rental: r, rentedAt: time.Now(), tasks: map[string]*simTask{}}
+		w.lastMachineNumber++
+		m := &simWorker{w: w, id: fmt.Sprintf("host-%06d", w.lastMachineNumber), request: r, createdAt: time.Now(), tasks: map[string]*simTask{}}
 		for _, b := range simMachineTypes {
 			if b.Name == r.MachineType {
 				m.machineType = b
@@ -77,10 +77,10 @@
 		w.mu.Unlock()
 		return nil, ErrNoCapacity
 	}
-	w.rentals[r.RequestID] = names
+	w.machinesByRequest[r.RequestID] = names
 	lost := w.random.IntN(10) == 0
-	f := w.afterRental
-	w.afterRental = nil
+	f := w.afterFirstRequest
+	w.afterFirstRequest = nil
 	w.mu.Unlock()
 	if f != nil {
 		f()
@@ -104,16 +104,16 @@
 		c.w.mu.Unlock()
 		c.w.spawn(func() {
 			sleep(c.w.ctx, late)
-			c.released(names)
+			c.removeMachines(names)
 		})
 		return errors.New("no answer")
 	}
-	c.released(names)
+	c.removeMachines(names)
 	return nil
 }
 
-// released removes machines with all that is on them.
-func (c simCloud) released(names []string) {
+// removeMachines removes machines with all that is on them.
+func (c simCloud) removeMachines(names []string) {
 	c.w.mu.Lock()
 	defer c.w.mu.Unlock()
 	for _, id := range names {
@@ -146,7 +146,7 @@
 	defer c.w.mu.Unlock()
 	var l protocol.MachineList
 	for id, m := range c.w.workers {
-		if id <= since || time.Since(m.rentedAt) < 2*time.Second {
+		if id <= since || time.Since(m.createdAt) < 2*time.Second {
 			continue
 		}
 		st := "starting"
@@ -155,8 +155,8 @@
 		} else if !m.bootedAt.IsZero() && time.Now().After(m.bootedAt) {
 			st = "running"
 		}
-		l.Machines = append(l.Machines, protocol.ListedMachine{ID: id, MachineType: m.rental.MachineType, Zone: m.rental.Zone, Spot: m.rental.Spot,
-			Status: st, AgeSeconds: time.Since(m.rentedAt).Seconds()})
+		l.Machines = append(l.Machines, protocol.ListedMachine{ID: id, MachineType: m.request.MachineType, Zone: m.request.Zone, Spot: m.request.Spot,
+			Status: st, AgeSeconds: time.Since(m.createdAt).Seconds()})
 	}
 	slices.SortFunc(l.Machines, func(a, b protocol.ListedMachine) int {
 		if a.ID < b.ID {
--- a/internal/coordination/sim_delegation_order_test.go
+++ b/internal/coordination/sim_delegation_order_test.go
@@ -31,8 +31,8 @@
 	staleWrite      writeKind = "stale chunk"
 )
 
-// kindOf returns the kind of a transaction; empty: none of those above.
-func kindOf(txn protocol.Txn) writeKind {
+// writeKindOf returns the kind of a transaction; empty: none of those above.
+func writeKindOf(txn protocol.Txn) writeKind {
 	key, deletes := txn.Writes[0].Put+txn.Writes[0].Delete, txn.Writes[0].Delete != ""
 	_, isDelegation := storage.ParseDelegationKey(key)
 	_, isAck := storage.ParseDelegationAckKey(key)
@@ -67,37 +67,37 @@
 	return ""
 }
 
-// delayOrder plays a case: it decides the fates of writes and follows the machines.
-type delayOrder struct {
+// delayCaseRun plays a case: it decides the fates of writes and follows the machines.
+type delayCaseRun struct {
 	*delayCase
-	w        *world
-	mu       sync.Mutex // guards all below; locked before the world's and the nodes'
-	machines []*cutMachine
-	attempts map[string]int
-	sent     map[string]bool   // what each controller has sent since the cut
-	forced   map[writeKind]int // the greatest attempt of each kind that was unanswered
-	landings []time.Duration   // when writes were carried out late, since the cut
-	asked    int               // heartbeats that the muted controller redirected while another might answer
-	inTheWay map[string]int    // how many other writes of each controller were unanswered
-	log      []string
-	leftOver []string // delegations and acknowledgements that stand though nobody wants them
+	w                *world
+	mu               sync.Mutex // guards all below; locked before the world's and the nodes'
+	machines         []*cutMachine
+	attempts         map[string]int
+	sent             map[string]bool   // what each controller has sent since the cut
+	forced           map[writeKind]int // the greatest attempt of each kind that was unanswered
+	lateCommits      []time.Duration   // when writes were carried out late, since the cut
+	redirectsByMuted int               // heartbeats that the muted controller redirected while another might answer
+	precedingWrites  map[string]int    // how many other writes of each controller were unanswered
+	log              []string
+	leftoverRecords  []string // delegations and acknowledgements that stand though nobody wants them
 }
 
 // sinceCut returns the time since the last cut began.
-func (o *delayOrder) sinceCut() time.Duration { return time.Since(o.w.startedAt) - o.lastCut().at }
+func (o *delayCaseRun) sinceCut() time.Duration { return time.Since(o.w.startedAt) - o.lastCut().at }
 
 // logf notes what happens now.
-func (o *delayOrder) logf(format string, a ...any) {
+func (o *delayCaseRun) logf(format string, a ...any) {
 	o.log = append(o.log, fmt.Sprintf("%.2f ", o.sinceCut().Seconds())+fmt.Sprintf(format, a...))
 }
 
 // decide returns the fate of a transaction of a controller.
-func (o *delayOrder) decide(sender string, txn protocol.Txn) forcedFate {
+func (o *delayCaseRun) decide(sender string, txn protocol.Txn) forcedOutcome {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	kind := kindOf(txn)
+	kind := writeKindOf(txn)
 	if kind == "" {
-		return forcedFate{}
+		return forcedOutcome{}
 	}
 	first := fmt.Sprintf("%s %s %s", sender, kind, txn.Writes[0].Put+txn.Writes[0].Delete)
 	o.attempts[first]++
@@ -105,15 +105,15 @@
 	o.recordSent(sender, kind, txn)
 	isOther := slices.Contains(o.others, kind) && !o.sent[sender+string(kind)]
 	if isOther && o.isHeld(sender, kind) || kind == delegationWrite && o.mute == sender {
-		return forcedFate{refused: true}
+		return forcedOutcome{refused: true}
 	}
-	fate := forcedFate{}
+	fate := forcedOutcome{}
 	if attempt <= o.unanswered[kind] || isOther && o.isDue(sender) {
 		fate.late = lateBy
 		o.forced[kind] = max(o.forced[kind], attempt)
 		if isOther {
 			o.sent[sender+string(kind)] = true
-			o.inTheWay[sender]++
+			o.precedingWrites[sender]++
 		}
 	}
 	if fate.late > 0 || kind == delegationWrite || kind == ackWrite || kind == removalWrite {
@@ -122,7 +122,7 @@
 			o.mu.Lock()
 			defer o.mu.Unlock()
 			if fate.late > 0 {
-				o.landings = append(o.landings, o.sinceCut())
+				o.lateCommits = append(o.lateCommits, o.sinceCut())
 			}
 			o.logf("%s attempt %d carried out: %d", first, attempt, status)
 		}
@@ -131,7 +131,7 @@
 }
 
 // isHeld reports whether another write is held until it can be in the way.
-func (o *delayOrder) isHeld(sender string, kind writeKind) bool {
+func (o *delayCaseRun) isHeld(sender string, kind writeKind) bool {
 	since := o.sinceCut()
 	if since < 0 {
 		return since > -heldBefore || kind == schemaWrite
@@ -141,13 +141,13 @@
 
 // isDue reports whether another write may now be in the way of a delegation or of an
 // acknowledgement, from the second before these are due.
-func (o *delayOrder) isDue(sender string) bool {
+func (o *delayCaseRun) isDue(sender string) bool {
 	return o.concerns(sender) && o.sinceCut() >= dueAfter && o.sinceCut() < maxProxyDelay
 }
 
 // concerns reports whether a controller is a proxy of the first cut-off machine or, with
 // beforeAck, its holder.
-func (o *delayOrder) concerns(sender string) bool {
+func (o *delayCaseRun) concerns(sender string) bool {
 	if len(o.machines) == 0 {
 		return false
 	}
@@ -155,11 +155,11 @@
 	if o.beforeAck {
 		return m.holder.name == sender
 	}
-	return slices.ContainsFunc(o.w.nodes, func(n *simNode) bool { return n.name == sender && n.zone == m.worker.rental.Zone })
+	return slices.ContainsFunc(o.w.nodes, func(n *simNode) bool { return n.name == sender && n.zone == m.worker.request.Zone })
 }
 
 // recordSent records the steps that a write is for its machines.
-func (o *delayOrder) recordSent(sender string, kind writeKind, txn protocol.Txn) {
+func (o *delayCaseRun) recordSent(sender string, kind writeKind, txn protocol.Txn) {
 	step := map[writeKind]string{delegationWrite: delegationSent, ackWrite: ackSent}[kind]
 	if step == "" || o.sinceCut() < 0 {
 		return
@@ -168,24 +168,24 @@
 	value, _ := json.Marshal(txn.Writes[0].Value)
 	for _, m := range o.machines {
 		if strings.Contains(string(value), strconv.Quote(m.worker.id)) {
-			o.reach(m, step)
+			o.recordStep(m, step)
 		}
 	}
 }
 
-// reach records the first time that a machine has come to a step.
-func (o *delayOrder) reach(m *cutMachine, step string) {
+// recordStep records the first time that a machine has come to a step.
+func (o *delayCaseRun) recordStep(m *cutMachine, step string) {
 	if _, found := m.steps[step]; !found {
 		m.steps[step] = o.sinceCut()
 	}
 }
 
 // run attaches the hook to all links and follows the cut.
-func (o *delayOrder) run() {
+func (o *delayCaseRun) run() {
 	for _, n := range o.w.nodes {
-		n.wire.mu.Lock()
-		n.wire.decideFate = func(txn protocol.Txn) forcedFate { return o.decide(n.name, txn) }
-		n.wire.mu.Unlock()
+		n.storeLink.mu.Lock()
+		n.storeLink.decideOutcome = func(txn protocol.Txn) forcedOutcome { return o.decide(n.name, txn) }
+		n.storeLink.mu.Unlock()
 	}
 	time.Sleep(-o.sinceCut() + time.Millisecond)
 	o.findMachines()
@@ -201,7 +201,7 @@
 }
 
 // findMachines finds the machines with a task whose holder is in the other zone.
-func (o *delayOrder) findMachines() {
+func (o *delayCaseRun) findMachines() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.w.mu.Lock()
@@ -213,7 +213,7 @@
 			continue
 		}
 		for _, n := range o.w.nodes {
-			if n.zone != worker.rental.Zone && n.node.holdsMachine(id) {
+			if n.zone != worker.request.Zone && n.node.holdsMachine(id) {
 				n.node.mu.Lock()
 				shard := n.node.records.ShardOfMachine[id]
 				n.node.mu.Unlock()
@@ -222,23 +222,23 @@
 		}
 	}
 	// The busiest holder is in zone a: it comes first in the role that is held up.
-	slices.SortStableFunc(o.machines, func(a, b *cutMachine) int { return cmp.Compare(a.worker.rental.Zone, b.worker.rental.Zone) })
+	slices.SortStableFunc(o.machines, func(a, b *cutMachine) int { return cmp.Compare(a.worker.request.Zone, b.worker.request.Zone) })
 	if o.beforeAck {
 		slices.Reverse(o.machines)
 	}
 }
 
 // observe records the steps that show at a machine's holder, its proxies and its worker.
-func (o *delayOrder) observe(m *cutMachine) {
+func (o *delayCaseRun) observe(m *cutMachine) {
 	holder, id := m.holder.node, m.worker.id
 	holder.mu.Lock()
 	if holder.records.DelegatedMachines[m.shard][id] {
-		o.reach(m, shownAtHolder)
+		o.recordStep(m, shownAtHolder)
 	}
 	holder.mu.Unlock()
-	answerable := slices.ContainsFunc(o.w.nodes, func(n *simNode) bool { return n.zone == m.worker.rental.Zone && n.node.mayAnswerMachine(id) })
+	answerable := slices.ContainsFunc(o.w.nodes, func(n *simNode) bool { return n.zone == m.worker.request.Zone && n.node.mayAnswerMachine(id) })
 	if answerable {
-		o.reach(m, shownAtProxy)
+		o.recordStep(m, shownAtProxy)
 	}
 	if answerable != m.answerable {
 		o.logf("%s may be answered: %v", id, answerable)
@@ -247,13 +247,13 @@
 	o.w.mu.Lock()
 	defer o.w.mu.Unlock()
 	if m.worker.session == m.session && m.worker.lastAcknowledged.Sub(o.w.startedAt) > o.lastCut().at {
-		o.reach(m, firstAnswer)
+		o.recordStep(m, firstAnswer)
 	}
 }
 
 // countDetours counts what workers met once a proxy might answer them: redirects of the
 // muted controller, and those after which they went to the cut-off holder.
-func (o *delayOrder) countDetours() {
+func (o *delayCaseRun) countDetours() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.w.mu.Lock()
@@ -266,8 +266,8 @@
 			if !found || h.to != o.mute || h.status != http.StatusMisdirectedRequest || h.sentAt.Before(from) {
 				continue
 			}
-			o.asked++
-			if i+1 < len(heartbeats) && heartbeats[i+1].fate == heartbeatCutOff {
+			o.redirectsByMuted++
+			if i+1 < len(heartbeats) && heartbeats[i+1].outcome == heartbeatCutOff {
 				m.detours++
 			}
 		}
@@ -276,12 +276,12 @@
 }
 
 // describeHeartbeats lists a machine's heartbeats from the cut to its first answer.
-func (o *delayOrder) describeHeartbeats(m *cutMachine) string {
+func (o *delayCaseRun) describeHeartbeats(m *cutMachine) string {
 	var text strings.Builder
 	for _, h := range m.worker.trace.heartbeats {
 		at := h.sentAt.Sub(o.w.startedAt) - o.lastCut().at
 		if answered, found := m.steps[firstAnswer]; at > -sec && (!found || at < answered) {
-			fmt.Fprintf(&text, " %.2f %s %s %d;", at.Seconds(), h.to, h.fate, h.status)
+			fmt.Fprintf(&text, " %.2f %s %s %d;", at.Seconds(), h.to, h.outcome, h.status)
 		}
 	}
 	return text.String()
--- a/internal/coordination/sim_direct_test.go
+++ b/internal/coordination/sim_direct_test.go
@@ -55,7 +55,7 @@
 	c := &simCommand{w: w, from: from, sender: sender, address: address, DirectCommands: d, sentAt: time.Now()}
 	w.mu.Lock()
 	w.checkCommand(c)
-	cut, fate := w.workers[address] != nil && !w.reaches(w.workers[address].rental.Zone, w.nodes[from]), w.random.IntN(100)
+	cut, fate := w.workers[address] != nil && !w.reaches(w.workers[address].request.Zone, w.nodes[from]), w.random.IntN(100)
 	still, slow := time.Until(w.nodes[from].pausedUntil), time.Duration(0)
 	if w.directDelay > 0 {
 		slow = time.Duration(w.random.Int64N(int64(w.directDelay)))
@@ -77,7 +77,7 @@
 		if fate < unsentPercent+latePercent || cut || c.delayed {
 			time.Sleep(late)
 		}
-		if a, ok := c.arrive(slow); ok && fate < 100-lostPercent && !c.delayed {
+		if a, ok := c.deliver(slow); ok && fate < 100-lostPercent && !c.delayed {
 			answer <- a
 		}
 	})
@@ -98,7 +98,7 @@
 func (w *world) checkCommand(c *simCommand) {
 	for _, o := range c.Commands {
 		if o.Verb == protocol.VerbClear {
-			w.breakf("a clear goes straight to %s, and may arrive late", c.address)
+			w.violationf("a clear goes straight to %s, and may arrive late", c.address)
 		}
 	}
 	w.checkTokenOwner(c.address, c.FencingToken, c.sender)
@@ -116,14 +116,14 @@
 func (w *world) checkTokenOwner(machine string, token uint64, holder *Node) {
 	at := machineTokenKey{machine, token}
 	if first, ok := w.tokenOwners[at]; ok && first != holder {
-		w.breakf("two processes command %s with token %d", machine, token)
+		w.violationf("two processes command %s with token %d", machine, token)
 	}
 	w.tokenOwners[at] = holder
 }
 
-// arrive has the worker carry the message out, if it may; false if there is
+// deliver has the worker carry the message out, if it may; false if there is
 // none that answers.
-func (c *simCommand) arrive(slow time.Duration) (DirectAnswer, bool) {
+func (c *simCommand) deliver(slow time.Duration) (DirectAnswer, bool) {
 	w := c.w
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -152,7 +152,7 @@
 		if slow > 3*time.Second && len(m.tasks) > 0 {
 			w.recordEventLocked("direct command held for seconds")
 		}
-		m.carryOut(c.Commands, c.sentAt)
+		m.execute(c.Commands, c.sentAt)
 	}
 	a.Report = m.report()
 	return a, true
--- a/internal/coordination/sim_faults_test.go
+++ b/internal/coordination/sim_faults_test.go
@@ -12,16 +12,16 @@
 // fault is one thing that goes wrong: what, to whom, when and for how long. All
 // that ever goes wrong in the world is one of these, at random or by a script.
 type fault struct {
-	at       time.Duration // since the faults began
-	kind     faultKind
-	target   faultTarget
-	duration time.Duration
-	count    int           // machines, jobs, or how often a process ends
-	share    float64       // of transactions, reports, jobs that end
-	zone     string        // empty: any
-	hangFor  time.Duration // how long machines hang
-	maxDelay time.Duration // how long direct commands are delayed, at most
-	verb     string        // which direct commands; empty: all
+	at           time.Duration // since the faults began
+	kind         faultKind
+	target       faultTarget
+	duration     time.Duration
+	count        int           // machines, jobs, or how often a process ends
+	share        float64       // of transactions, reports, jobs that end
+	zone         string        // empty: any
+	hangDuration time.Duration // how long machines hang
+	maxDelay     time.Duration // how long direct commands are delayed, at most
+	verb         string        // which direct commands; empty: all
 }
 
 // faultKind names a kind of fault.
@@ -70,11 +70,11 @@
 type faultTarget string
 
 const (
-	theLeader  faultTarget = "leader"
-	theBusiest faultTarget = "busiest holder"
-	theRest    faultTarget = "all but the leader"
-	everybody  faultTarget = "all"
-	anyone     faultTarget = "any" // also the zero value
+	targetLeader     faultTarget = "leader"
+	targetBusiest    faultTarget = "busiest holder"
+	targetNonLeaders faultTarget = "all but the leader"
+	targetAll        faultTarget = "all"
+	targetAny        faultTarget = "any" // also the zero value
 )
 
 // faultSettings is what the active faults set in the world; guarded by its
@@ -130,15 +130,15 @@
 		all = append(all, i)
 	}
 	switch who {
-	case everybody:
+	case targetAll:
 		return all
-	case theLeader:
+	case targetLeader:
 		if lead >= 0 {
 			return []int{lead}
 		}
-	case theRest:
+	case targetNonLeaders:
 		return slices.DeleteFunc(all, func(i int) bool { return i == lead })
-	case theBusiest:
+	case targetBusiest:
 		return []int{slices.MaxFunc(all, func(a, b int) int { return cmp.Compare(w.placedTasks(a), w.placedTasks(b)) })}
 	}
 	return []int{w.intn(len(w.nodes))}
@@ -161,11 +161,11 @@
 	return sum
 }
 
-// machinesUp selects machines that are up, those with most tasks first.
-func (w *world) machinesUp(count int, zone string) []*simWorker {
+// selectMachines selects machines that are up, those with most tasks first.
+func (w *world) selectMachines(count int, zone string) []*simWorker {
 	var up []*simWorker
 	for _, id := range slices.Sorted(maps.Keys(w.workers)) {
-		if m := w.workers[id]; m.session > 0 && !m.dead && (zone == "" || zone == m.rental.Zone) {
+		if m := w.workers[id]; m.session > 0 && !m.dead && (zone == "" || zone == m.request.Zone) {
 			up = append(up, m)
 		}
 	}
@@ -229,21 +229,21 @@
 				}
 			}
 		}
-		return set(func() { list = w.machinesUp(f.count, f.zone); each(true)() }, each(false))
+		return set(func() { list = w.selectMachines(f.count, f.zone); each(true)() }, each(false))
 	}
 	refuse := func(n *simNode, on bool) {
-		if n.wire != nil {
-			n.wire.mu.Lock()
-			n.wire.refusing = on
-			n.wire.mu.Unlock()
+		if n.storeLink != nil {
+			n.storeLink.mu.Lock()
+			n.storeLink.refusing = on
+			n.storeLink.mu.Unlock()
 		}
 	}
 	wires := func(share func(wr *simStoreLink)) {
 		for _, n := range w.nodes {
-			if n.wire != nil {
-				n.wire.mu.Lock()
-				share(n.wire)
-				n.wire.mu.Unlock()
+			if n.storeLink != nil {
+				n.storeLink.mu.Lock()
+				share(n.storeLink)
+				n.storeLink.mu.Unlock()
 			}
 		}
 	}
@@ -318,19 +318,19 @@
 	case zonesSeparated:
 		return set(func() { w.zonesSeparated = true }, func() { w.zonesSeparated = false })
 	case cloudOutage:
-		return set(func() { w.noCloud = true }, func() { w.noCloud = false })
+		return set(func() { w.cloudUnavailable = true }, func() { w.cloudUnavailable = false })
 	case heartbeatsSlow:
 		return set(func() { w.heartbeatDelay = 1500 * time.Millisecond }, func() { w.heartbeatDelay = 0 })
 	case directLate:
 		held := delayedCommands{share: f.share, maxDelay: cmp.Or(f.maxDelay, maxCommandDelay), verb: f.verb}
-		if f.target != anyone && f.target != "" && f.target != everybody {
+		if f.target != targetAny && f.target != "" && f.target != targetAll {
 			held.from = w.targets(f.target)
 		}
 		return set(func() { w.delayedCommands = held }, func() { w.delayedCommands = delayedCommands{} })
 	case cloudCallsLate:
 		return set(func() { w.lateCloudRate = f.share }, func() { w.lateCloudRate = 0 })
 	case cancelRunningJobs:
-		w.cancelSome(max(1, f.count), f.hangFor)
+		w.cancelLongestRunning(max(1, f.count), f.hangDuration)
 		return nil
 	case cancelEndingJobs:
 		return set(func() { w.cancelAtEndRate = f.share }, func() { w.cancelAtEndRate = 0 })
@@ -341,7 +341,7 @@
 	case leaderChanges:
 		w.spawn(func() {
 			for range max(1, f.count) {
-				w.endAndRestart(time.Duration(50+w.intn(900))*time.Millisecond, 1, w.targets(theLeader)...)
+				w.endAndRestart(time.Duration(50+w.intn(900))*time.Millisecond, 1, w.targets(targetLeader)...)
 				time.Sleep(f.duration / time.Duration(max(1, f.count)))
 			}
 		})
@@ -355,7 +355,7 @@
 	back := time.Duration(1+w.intn(12)) * time.Second
 	switch w.intn(11) {
 	case 0, 1:
-		f := fault{kind: controllerEnds, target: []faultTarget{anyone, everybody}[w.intn(2)], duration: back}
+		f := fault{kind: controllerEnds, target: []faultTarget{targetAny, targetAll}[w.intn(2)], duration: back}
 		if w.intn(2) == 0 { // back after a moment, and then mostly ends some more times
 			f.duration, f.count = time.Duration(5+w.intn(300))*time.Millisecond, 1+w.intn(5)
 		}
@@ -385,13 +385,13 @@
 	defer w.mu.Unlock()
 	w.faultSettings = faultSettings{txnFailureRate: w.txnFailureRate, keptHeartbeats: w.keptHeartbeats}
 	w.recoveredAt = time.Now()
-	w.noCloud, w.isolatedZone, w.zonesSeparated = false, "", false
+	w.cloudUnavailable, w.isolatedZone, w.zonesSeparated = false, "", false
 	for _, n := range w.nodes {
 		n.cutFromWorkers, n.cutFromPeers, n.cutFromUsers, n.inIsolatedZone, n.pausedUntil = false, false, false, false, time.Time{}
-		if n.wire != nil {
-			n.wire.mu.Lock()
-			n.wire.refusing, n.wire.lateRate, n.wire.lostRate = false, 0, 0
-			n.wire.mu.Unlock()
+		if n.storeLink != nil {
+			n.storeLink.mu.Lock()
+			n.storeLink.refusing, n.storeLink.lateRate, n.storeLink.lostRate = false, 0, 0
+			n.storeLink.mu.Unlock()
 		}
 	}
 	for _, m := range w.workers {
@@ -430,9 +430,9 @@
 	}
 }
 
-// cancelSome has users cancel jobs that run and have long to go; up to eight of
+// cancelLongestRunning has users cancel jobs that run and have long to go; up to eight of
 // their machines hang.
-func (w *world) cancelSome(count int, hang time.Duration) {
+func (w *world) cancelLongestRunning(count int, hang time.Duration) {
 	w.mu.Lock()
 	left := map[string]time.Duration{}
 	for name, m := range w.taskWorker {
@@ -458,7 +458,7 @@
 	for _, id := range ids {
 		w.spawn(func() {
 			time.Sleep(time.Duration(w.intn(200)) * time.Millisecond)
-			(&user{w: w, job: w.spec(id)}).cancelUntilConfirmed()
+			(&user{w: w, job: w.jobSpec(id)}).cancelUntilConfirmed()
 		})
 	}
 }
--- a/internal/coordination/sim_heartbeat_proxy_test.go
+++ b/internal/coordination/sim_heartbeat_proxy_test.go
@@ -23,7 +23,7 @@
 		case protocol.VerbStop:
 			w.recordEventLocked("a heartbeat proxy stops a task")
 		default:
-			w.breakf("a heartbeat proxy has %s %s a task", m.id, o.Verb)
+			w.violationf("a heartbeat proxy has %s %s a task", m.id, o.Verb)
 		}
 	}
 	if time.Since(m.lastAcknowledged) > time.Duration(w.settings.Deployment.Workers.LeaseS/2*float64(time.Second)) {
--- a/internal/coordination/sim_store_link_test.go
+++ b/internal/coordination/sim_store_link_test.go
@@ -20,9 +20,9 @@
 // simStoreLink is one controller's way to the store: it delays, loses and
 // refuses.
 type simStoreLink struct {
-	s           *emulator.KVStore
+	store       *emulator.KVStore
 	mu          sync.Mutex
-	rnd         *rand.Rand
+	random      *rand.Rand
 	refusing    bool // the store refuses this controller alone
 	failureRate float64
 	// lateRate is the share of transactions that get no answer and are carried
@@ -37,46 +37,46 @@
 	dropPreconditions bool // transactions lose their preconditions
 	staleReads        bool // what was read once is answered again for a while
 	reads             map[string]cachedRead
-	note              func(what string) // what became of the above
+	recordOutcome     func(what string) // what became of the above
 	sentTxns          uint64            // transactions so far, and the newest carried out
 	newestCommitted   uint64
 	previousVersion   bool   // plays a controller of the previous version: see hideNewKeys
 	lastOwnKeyTxn     []byte // the last transaction that wrote a controller's key
 	// decideFate lets a test decide what becomes of each transaction as it is sent;
 	// nil: chance does.
-	decideFate func(protocol.Txn) forcedFate
+	decideOutcome func(protocol.Txn) forcedOutcome
 }
 
-// forcedFate is what a test has decided of a transaction; the zero value leaves it to
+// forcedOutcome is what a test has decided of a transaction; the zero value leaves it to
 // chance.
-type forcedFate struct {
+type forcedOutcome struct {
 	refused bool             // it is refused at once and not carried out
 	late    time.Duration    // over 0: it gets no answer and is carried out so much after it was sent
 	done    func(status int) // is told what the store said when it was carried out; may be nil
 }
 
 // report tells the test what the store said.
-func (f forcedFate) report(status int) {
+func (f forcedOutcome) report(status int) {
 	if f.done != nil {
 		f.done(status)
 	}
 }
 
-// forcedFate asks the test for the fate of a request.
-func (w *simStoreLink) forcedFate(r *http.Request, body []byte) forcedFate {
+// forcedOutcome asks the test for the fate of a request.
+func (w *simStoreLink) forcedOutcome(r *http.Request, body []byte) forcedOutcome {
 	w.mu.Lock()
-	decide := w.decideFate
+	decide := w.decideOutcome
 	w.mu.Unlock()
 	var txn protocol.Txn
 	if decide == nil || r.URL.Path != "/multi" || json.Unmarshal(body, &txn) != nil {
-		return forcedFate{}
+		return forcedOutcome{}
 	}
 	return decide(txn)
 }
 
 // commitLate carries out a request that gets no answer.
-func (w *simStoreLink) commitLate(r *http.Request, body []byte, fate forcedFate) {
-	status, _ := w.s.Handle(context.Background(), r.Method, r.URL.Path, r.URL.Query(), body)
+func (w *simStoreLink) commitLate(r *http.Request, body []byte, fate forcedOutcome) {
+	status, _ := w.store.Handle(context.Background(), r.Method, r.URL.Path, r.URL.Query(), body)
 	fate.report(status)
 }
 
@@ -99,7 +99,7 @@
 		return old.status, old.answer
 	}
 	now := cachedRead{at: time.Now()}
-	now.status, now.answer = w.s.Handle(r.Context(), r.Method, r.URL.Path, r.URL.Query(), nil)
+	now.status, now.answer = w.store.Handle(r.Context(), r.Method, r.URL.Path, r.URL.Query(), nil)
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.reads == nil {
@@ -141,8 +141,8 @@
 		r.Body.Close()
 	}
 	w.mu.Lock()
-	delay := time.Duration(1+w.rnd.IntN(20)) * time.Millisecond
-	fate, late := w.rnd.Float64(), time.Duration(w.rnd.IntN(20000))*time.Millisecond
+	delay := time.Duration(1+w.random.IntN(20)) * time.Millisecond
+	fate, late := w.random.Float64(), time.Duration(w.random.IntN(20000))*time.Millisecond
 	bad, behind, unsaid := w.failureRate, w.lateRate, w.lostRate
 	if bytes.Contains(body, []byte(`"put":"`+storage.ControllerKey(""))) {
 		w.lastOwnKeyTxn = body
@@ -155,7 +155,7 @@
 	}
 	number := w.sentTxns
 	w.mu.Unlock()
-	forced := w.forcedFate(r, body)
+	forced := w.forcedOutcome(r, body)
 	if forced.late > 0 {
 		time.AfterFunc(forced.late, func() { w.commitLate(r, body, forced) })
 	}
@@ -173,7 +173,7 @@
 			sleep(ctx, 50*time.Millisecond)
 		}
 		if ctx.Err() == nil {
-			status, answer = w.s.Handle(ctx, r.Method, r.URL.Path, r.URL.Query(), body)
+			status, answer = w.store.Handle(ctx, r.Method, r.URL.Path, r.URL.Query(), body)
 		}
 		for w.isRefusing() && ctx.Err() == nil {
 			sleep(ctx, 50*time.Millisecond)
@@ -201,14 +201,14 @@
 			if fate < bad/3 {
 				late = 0
 			}
-			time.AfterFunc(late, func() { w.s.Handle(context.Background(), r.Method, r.URL.Path, r.URL.Query(), body) })
+			time.AfterFunc(late, func() { w.store.Handle(context.Background(), r.Method, r.URL.Path, r.URL.Query(), body) })
 		}
 		<-ctx.Done()
 		return nil, ctx.Err()
 	case w.staleReads && r.Method == http.MethodGet && strings.HasPrefix(r.URL.Path, "/keys/"):
 		status, answer = w.readMaybeStale(r)
 	default:
-		status, answer = w.s.Handle(ctx, r.Method, r.URL.Path, r.URL.Query(), body)
+		status, answer = w.store.Handle(ctx, r.Method, r.URL.Path, r.URL.Query(), body)
 		forced.report(status)
 		if r.URL.Path == "/multi" && status == 200 {
 			w.mu.Lock()
@@ -240,11 +240,11 @@
 
 // commitUnanswered carries out a transaction that is not answered.
 func (w *simStoreLink) commitUnanswered(r *http.Request, body []byte, number uint64, what string) {
-	status, _ := w.s.Handle(context.Background(), r.Method, r.URL.Path, r.URL.Query(), body)
+	status, _ := w.store.Handle(context.Background(), r.Method, r.URL.Path, r.URL.Query(), body)
 	w.mu.Lock()
 	behind := number < w.newestCommitted
 	w.mu.Unlock()
-	if w.note != nil {
+	if w.recordOutcome != nil {
 		if status == 200 {
 			what += " done"
 		} else {
@@ -253,7 +253,7 @@
 		if behind {
 			what += " behind a newer one"
 		}
-		w.note(what)
+		w.recordOutcome(what)
 	}
 }
 
@@ -284,10 +284,10 @@
 	}
 }
 
-// recorder notes transactions and answers that they succeeded.
-type recorder struct{ sent *[]protocol.Txn }
+// txnRecorder notes transactions and answers that they succeeded.
+type txnRecorder struct{ sent *[]protocol.Txn }
 
-func (r recorder) RoundTrip(req *http.Request) (*http.Response, error) {
+func (r txnRecorder) RoundTrip(req *http.Request) (*http.Response, error) {
 	var t protocol.Txn
 	json.NewDecoder(req.Body).Decode(&t)
 	*r.sent = append(*r.sent, t)
--- a/internal/coordination/sim_trace_explanation_test.go
+++ b/internal/coordination/sim_trace_explanation_test.go
@@ -7,8 +7,8 @@
 
 // Guards against a trace that explains an end of a lease by lost exchanges where another fault had a part.
 func TestLostExchangesExplainLeaseEnd(t *testing.T) {
-	at := func(seconds float64, fate heartbeatFate, status int) tracedHeartbeat {
-		return tracedHeartbeat{sentAt: time.Unix(0, int64(seconds*1e9)), fate: fate, status: status}
+	at := func(seconds float64, fate heartbeatOutcome, status int) tracedHeartbeat {
+		return tracedHeartbeat{sentAt: time.Unix(0, int64(seconds*1e9)), outcome: fate, status: status}
 	}
 	losing := func(seconds float64, renews bool) tracedHeartbeat {
 		h := at(seconds, heartbeatAnswerLost, 0)
--- a/internal/coordination/sim_trace_test.go
+++ b/internal/coordination/sim_trace_test.go
@@ -8,16 +8,16 @@
 	"time"
 )
 
-// heartbeatFate is what became of a worker's heartbeat.
-type heartbeatFate string
+// heartbeatOutcome is what became of a worker's heartbeat.
+type heartbeatOutcome string
 
 const (
-	heartbeatDelivered     heartbeatFate = "delivered"
-	heartbeatCutOff        heartbeatFate = "cut off"
-	heartbeatHeldUp        heartbeatFate = "held up"
-	heartbeatRefused       heartbeatFate = "controller down"
-	heartbeatAnswerLost    heartbeatFate = "answer lost"
-	heartbeatAnswerDropped heartbeatFate = "answer dropped by the worker"
+	heartbeatDelivered     heartbeatOutcome = "delivered"
+	heartbeatCutOff        heartbeatOutcome = "cut off"
+	heartbeatDelayed       heartbeatOutcome = "held up"
+	heartbeatRefused       heartbeatOutcome = "controller down"
+	heartbeatAnswerLost    heartbeatOutcome = "answer lost"
+	heartbeatAnswerDropped heartbeatOutcome = "answer dropped by the worker"
 )
 
 // tracedHeartbeat is a heartbeat of a worker and what it met.
@@ -25,7 +25,7 @@
 	sentAt   time.Time
 	to       string
 	sequence uint64
-	fate     heartbeatFate
+	outcome  heartbeatOutcome
 	status   int
 	redirect string
 	token    uint64
@@ -46,10 +46,10 @@
 	}
 }
 
-// networkLosses is from how many exchanges on that the simulated network loses an end
+// minExplainingLosses is from how many exchanges on that the simulated network loses an end
 // of a lease is explained by these alone: each costs the worker the 4 s that it waits
 // and the detour over a controller that sends it back.
-const networkLosses = 3
+const minExplainingLosses = 3
 
 // isExplainedByLosses tells whether a worker that was not answered since a time lost that
 // many exchanges to the simulated network, with no fault injected, one of which at least
@@ -58,7 +58,7 @@
 func (t *heartbeatTrace) isExplainedByLosses(since time.Time) bool {
 	lost, renewing := 0, 0
 	for _, h := range t.heartbeats {
-		if !h.sentAt.After(since) || h.fate == heartbeatCutOff {
+		if !h.sentAt.After(since) || h.outcome == heartbeatCutOff {
 			continue
 		}
 		if !h.lost && h.status != http.StatusMisdirectedRequest {
@@ -71,7 +71,7 @@
 			renewing++
 		}
 	}
-	return lost >= networkLosses && renewing > 0
+	return lost >= minExplainingLosses && renewing > 0
 }
 
 // mayAnswerMachine tells whether a controller answers a machine's heartbeats with 200: it
@@ -88,7 +88,7 @@
 func (t *heartbeatTrace) describe(w *world) string {
 	var text strings.Builder
 	for _, h := range t.heartbeats {
-		fmt.Fprintf(&text, "\n\t%.1f #%d to %s: %s", h.sentAt.Sub(w.startedAt).Seconds(), h.sequence, h.to, h.fate)
+		fmt.Fprintf(&text, "\n\t%.1f #%d to %s: %s", h.sentAt.Sub(w.startedAt).Seconds(), h.sequence, h.to, h.outcome)
 		if h.status != 0 {
 			fmt.Fprintf(&text, ", %d %s token %d", h.status, h.redirect, h.token)
 		}
@@ -101,7 +101,7 @@
 // on it, and how the controllers see the machine; the world's lock is held.
 func (w *world) recordLeaseEnd(m *simWorker, t *simTask, now time.Time) {
 	text := fmt.Sprintf("%s in zone %s drops %s at %.1f, session %d, token %d, last answered heartbeat sent at %.1f, explained by lost exchanges %v:%s",
-		m.id, m.rental.Zone, t.name, now.Sub(w.startedAt).Seconds(), m.session, m.token, m.lastAcknowledged.Sub(w.startedAt).Seconds(),
+		m.id, m.request.Zone, t.name, now.Sub(w.startedAt).Seconds(), m.session, m.token, m.lastAcknowledged.Sub(w.startedAt).Seconds(),
 		m.trace.isExplainedByLosses(m.lastAcknowledged), m.trace.describe(w))
 	id := m.id
 	w.spawn(func() {
--- a/internal/coordination/sim_users_test.go
+++ b/internal/coordination/sim_users_test.go
@@ -27,14 +27,14 @@
 	cancelAfter time.Duration // how soon after the submission; 0: any time within a minute
 }
 
-func (w *world) spec(id string) *protocol.Job {
+func (w *world) jobSpec(id string) *protocol.Job {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.specs[id]
 }
 
-// someNode selects a controller that users reach, or nil.
-func (w *world) someNode() *Node {
+// randomNode selects a controller that users reach, or nil.
+func (w *world) randomNode() *Node {
 	i := w.intn(len(w.nodes))
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -45,8 +45,8 @@
 	return n.node
 }
 
-// allNodes lists the controllers that users reach.
-func (w *world) allNodes() []*Node {
+// reachableNodes lists the controllers that users reach.
+func (w *world) reachableNodes() []*Node {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	var list []*Node
@@ -69,7 +69,7 @@
 	w.specs[j.ID] = j
 	w.mu.Unlock()
 	for ctx.Err() == nil {
-		if n := w.someNode(); n != nil && u.submit(n) {
+		if n := w.randomNode(); n != nil && u.submit(n) {
 			break
 		}
 		time.Sleep(time.Second)
@@ -82,7 +82,7 @@
 	cancelAt := time.Now().Add(within)
 	for ctx.Err() == nil {
 		time.Sleep(time.Duration(500+w.intn(5000)) * time.Millisecond)
-		n := w.someNode()
+		n := w.randomNode()
 		if n == nil {
 			continue
 		}
@@ -97,7 +97,7 @@
 		if _, err := n.JobStatus(ctx, "wk-9"+j.ID[3:]); err == nil {
 			w.recordEvent("invented")
 			w.mu.Lock()
-			w.breakf("invented: wk-9%s", j.ID[3:])
+			w.violationf("invented: wk-9%s", j.ID[3:])
 			w.mu.Unlock()
 		}
 	}
@@ -109,7 +109,7 @@
 // confirmed.
 func (u *user) cancelUntilConfirmed() {
 	for u.w.ctx.Err() == nil {
-		if n := u.w.someNode(); n != nil && u.cancelJob(n) {
+		if n := u.w.randomNode(); n != nil && u.cancelJob(n) {
 			return
 		}
 		time.Sleep(time.Second)
@@ -146,16 +146,16 @@
 	}
 	if errors.As(err, new(*InvalidJobError)) {
 		u.w.mu.Lock()
-		u.w.breakf("refused: %s: %v", u.job.ID, err)
+		u.w.violationf("refused: %s: %v", u.job.ID, err)
 		u.w.mu.Unlock()
 	}
 	if err != nil {
-		u.record(submitting, was, userAnswer{unknown: true})
+		u.record(opSubmit, was, userAnswer{unknown: true})
 		return false
 	}
-	u.record(submitting, was, userAnswer{status: st.Status, duplicate: known})
+	u.record(opSubmit, was, userAnswer{status: st.Status, duplicate: known})
 	u.w.mu.Lock()
-	if known && u.w.history.unknownOutcomes[userRequest{submitting, u.job.ID}] && u.w.acceptedAt[u.job.ID].IsZero() {
+	if known && u.w.history.unknownOutcomes[userRequest{opSubmit, u.job.ID}] && u.w.acceptedAt[u.job.ID].IsZero() {
 		u.w.recordEventLocked("a submission without an answer was accepted, as another finds")
 	}
 	if u.w.acceptedAt[u.job.ID].IsZero() {
@@ -173,7 +173,7 @@
 	defer cancel()
 	was := u.snapshotKnown()
 	st, err := n.JobStatus(ctx, u.job.ID)
-	u.checkAnswer(asking, was, st, err)
+	u.checkAnswer(opQuery, was, st, err)
 }
 
 // cancelJob cancels the job, and tells whether it has ended.
@@ -185,7 +185,7 @@
 	u.w.mu.Unlock()
 	was := u.snapshotKnown()
 	st, err := n.Cancel(ctx, u.job.ID)
-	if !u.checkAnswer(cancelling, was, st, err) {
+	if !u.checkAnswer(opCancel, was, st, err) {
 		return false
 	}
 	if was.finalStatus == "" {
@@ -208,7 +208,7 @@
 		u.record(what, was, userAnswer{})
 		if was.accepted {
 			w.mu.Lock()
-			w.breakf("forgotten: %s", id)
+			w.violationf("forgotten: %s", id)
 			w.mu.Unlock()
 		}
 		return false
@@ -226,38 +226,38 @@
 	defer w.mu.Unlock()
 	w.lastAnsweredAt[id] = time.Now()
 	if was.finalStatus != "" && was.finalStatus != status {
-		w.breakf("went_back: %s from %s to %s", id, was.finalStatus, status)
+		w.violationf("went_back: %s from %s to %s", id, was.finalStatus, status)
 	}
 	switch status {
 	case protocol.Done:
 		for t := range w.specs[id].Tasks {
 			if !w.done[protocol.FormatTaskName(id, t)] {
-				w.breakf("not_done: %s", protocol.FormatTaskName(id, t))
+				w.violationf("not_done: %s", protocol.FormatTaskName(id, t))
 			}
 		}
 		w.finalStatus[id] = status
 	case protocol.Pending, protocol.Running:
 		if at := w.cancelledBefore(id); !at.IsZero() && was.at.Sub(at).Seconds() > w.settings.Deployment.Workers.CancelS {
-			w.breakf("orphaned: %s is %s", id, status)
+			w.violationf("orphaned: %s is %s", id, status)
 		}
 	case protocol.Cancelled:
 		if !w.cancelled(id) {
-			w.breakf("went_back: %s was never cancelled", id)
+			w.violationf("went_back: %s was never cancelled", id)
 		}
 		if _, ok := w.cancelConfirmedAt[id]; !ok {
 			w.cancelConfirmedAt[id] = time.Now()
-			w.confirmed(id)
+			w.recordConfirmation(id)
 		}
 		w.finalStatus[id] = status
 	}
 }
 
-// confirmed records during which faults a cancellation is confirmed; the lock
+// recordConfirmation records during which faults a cancellation is confirmed; the lock
 // is held.
-func (w *world) confirmed(id string) {
+func (w *world) recordConfirmation(id string) {
 	w.recordEventLocked("confirmed")
 	for _, n := range w.nodes {
-		if n.wire != nil && n.wire.isRefusing() {
+		if n.storeLink != nil && n.storeLink.isRefusing() {
 			w.recordEventLocked("confirmed while a controller is refused")
 		}
 	}
@@ -274,7 +274,7 @@
 			if time.Now().Before(m.hungUntil) {
 				w.recordEventLocked("confirmed while its machine hangs")
 			}
-			if m.cannotSend || m.cannotReceive || w.isolatedZone == m.rental.Zone {
+			if m.cannotSend || m.cannotReceive || w.isolatedZone == m.request.Zone {
 				w.recordEventLocked("confirmed while its machine is cut off")
 			}
 			w.recordEventLocked("confirmed while it runs")
@@ -293,7 +293,7 @@
 		return
 	}
 	for k := range 2 {
-		for _, n := range w.allNodes() {
+		for _, n := range w.reachableNodes() {
 			w.spawn(func() { u.poll(n) })
 			if k == 0 {
 				w.spawn(func() { u.submit(n) })
@@ -304,8 +304,8 @@
 	w.recordEvent("close look")
 }
 
-// taskDone follows the end of a task; the world's lock is held.
-func (w *world) taskDone(j *protocol.Job) {
+// recordTaskEnd follows the end of a task; the world's lock is held.
+func (w *world) recordTaskEnd(j *protocol.Job) {
 	if w.firstEndedAt[j.ID].IsZero() {
 		w.firstEndedAt[j.ID] = time.Now()
 	}
@@ -372,15 +372,15 @@
 	u.w.mu.Lock()
 	defer u.w.mu.Unlock()
 	if u.w.ctx.Err() == nil {
-		u.w.breakf(u.job.ID+" "+format, a...)
+		u.w.violationf(u.job.ID+" "+format, a...)
 	}
 }
 
 // What users ask.
 const (
-	submitting = "submit"
-	asking     = "ask"
-	cancelling = "cancel"
+	opSubmit = "submit"
+	opQuery  = "ask"
+	opCancel = "cancel"
 )
 
 // userAnswer is what a user was told: nothing certain, that there is no such
@@ -392,35 +392,35 @@
 }
 
 type userRequest struct {
-	what string
-	id   string
+	operation string
+	id        string
 }
 
 // history is what users asked and were told, with the start and end of each call.
 type history struct {
-	begun           time.Time
+	startedAt       time.Time
 	ops             []porcupine.Operation
 	unknownOutcomes map[userRequest]bool // unknown outcomes, which one stands for all later ones
 }
 
 func newHistory() *history {
-	return &history{begun: time.Now(), unknownOutcomes: map[userRequest]bool{}}
+	return &history{startedAt: time.Now(), unknownOutcomes: map[userRequest]bool{}}
 }
 
 func (u *user) record(what string, was knownBefore, a userAnswer) {
 	w := u.w
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	h, in, end := w.history, userRequest{what, u.job.ID}, time.Since(w.history.begun).Nanoseconds()
+	h, in, end := w.history, userRequest{what, u.job.ID}, time.Since(w.history.startedAt).Nanoseconds()
 	if a.unknown {
 		// It may take effect at any later time, or never. A question has none,
 		// and of several that have one the first stands for all.
-		if what == asking || h.unknownOutcomes[in] {
+		if what == opQuery || h.unknownOutcomes[in] {
 			return
 		}
 		h.unknownOutcomes[in], end = true, math.MaxInt64/2
 	}
-	h.ops = append(h.ops, porcupine.Operation{Input: in, Output: a, Call: was.at.Sub(h.begun).Nanoseconds(), Return: end})
+	h.ops = append(h.ops, porcupine.Operation{Input: in, Output: a, Call: was.at.Sub(h.startedAt).Nanoseconds(), Return: end})
 }
 
 // jobModel is a job as users may see it: unknown, accepted, then done or
@@ -441,7 +441,7 @@
 		if now[0] == "live" {
 			now = append(now, protocol.Done, protocol.Cancelled)
 		}
-		what, a := in.(userRequest).what, out.(userAnswer)
+		what, a := in.(userRequest).operation, out.(userAnswer)
 		var next []any
 		for _, s := range now {
 			seen := a.status
@@ -449,17 +449,17 @@
 				seen = "live"
 			}
 			switch {
-			case a.unknown && what == submitting && s == "":
+			case a.unknown && what == opSubmit && s == "":
 				next = append(next, "", "live")
-			case a.unknown && what == cancelling && s == "live":
+			case a.unknown && what == opCancel && s == "live":
 				next = append(next, "live", protocol.Cancelled)
 			case a.unknown:
 				next = append(next, s)
-			case what == submitting && !a.duplicate:
+			case what == opSubmit && !a.duplicate:
 				if s == "" {
 					next = append(next, "live")
 				}
-			case what == cancelling && s == "live" && seen == protocol.Cancelled, seen == s:
+			case what == opCancel && s == "live" && seen == protocol.Cancelled, seen == s:
 				next = append(next, seen)
 			}
 		}
--- a/internal/coordination/sim_waiting_test.go
+++ b/internal/coordination/sim_waiting_test.go
@@ -59,8 +59,8 @@
 	return n
 }
 
-// roomFor names a machine that has room for one more task of a job, or is nil.
-func (w *world) roomFor(j *protocol.Job, o occupancy) *simWorker {
+// machineWithRoom names a machine that has room for one more task of a job, or is nil.
+func (w *world) machineWithRoom(j *protocol.Job, o occupancy) *simWorker {
 	for _, team := range w.settings.Deployment.Teams {
 		if team.Name == j.Team && o.used[j.Team]+j.Cores > team.CPUsMax+1e-9 {
 			return nil
@@ -74,21 +74,21 @@
 	return nil
 }
 
-// allowedOn tells whether a job's tasks may run on a machine of that type, zone and
+// isAllowedOn tells whether a job's tasks may run on a machine of that type, zone and
 // kind.
-func allowedOn(j *protocol.Job, m *simWorker) bool {
-	return (j.Zone == "" || j.Zone == m.rental.Zone) && (j.Spot || !m.rental.Spot) && (len(j.MachineTypes) == 0 || slices.Contains(j.MachineTypes, m.rental.MachineType))
+func isAllowedOn(j *protocol.Job, m *simWorker) bool {
+	return (j.Zone == "" || j.Zone == m.request.Zone) && (j.Spot || !m.request.Spot) && (len(j.MachineTypes) == 0 || slices.Contains(j.MachineTypes, m.request.MachineType))
 }
 
 // canRunInModel tells whether one more task of a job may run on a machine
 // beside the job's others, room apart.
 func canRunInModel(j *protocol.Job, m *simWorker, others []*simWorker) bool {
-	if !allowedOn(j, m) {
+	if !isAllowedOn(j, m) {
 		return false
 	}
 	same := 0
 	for _, o := range others {
-		if o.rental.Zone == m.rental.Zone {
+		if o.request.Zone == m.request.Zone {
 			same++
 		} else if j.OneZone {
 			return false
@@ -107,7 +107,7 @@
 		blocked := slices.ContainsFunc(j.DependsOn, func(dep string) bool { return !w.allDone(dep) })
 		var room *simWorker
 		if !blocked && w.finalStatus[id] == "" && !w.cancelled(id) && w.waitingTasks(j, o) > 0 {
-			room = w.roomFor(j, o)
+			room = w.machineWithRoom(j, o)
 		}
 		since, known := w.waiting.since[id]
 		switch {
@@ -116,8 +116,8 @@
 		case !known:
 			w.waiting.since[id] = now
 		case now.Sub(since) > maxWaitBesideCapacity:
-			w.breakf("left waiting: %s for %v, %d of %d tasks, %g cores of %s, room on %s (%v) of %g, team uses %g", id, now.Sub(since), w.waitingTasks(j, o), j.Tasks,
-				j.Cores, j.Team, room.id, room.rental, o.free[room.id], o.used[j.Team])
+			w.violationf("left waiting: %s for %v, %d of %d tasks, %g cores of %s, room on %s (%v) of %g, team uses %g", id, now.Sub(since), w.waitingTasks(j, o), j.Tasks,
+				j.Cores, j.Team, room.id, room.request, o.free[room.id], o.used[j.Team])
 			w.spawn(func() { w.explain(id) })
 			w.waiting.since[id] = now.Add(time.Hour) // said once
 		}
--- a/internal/coordination/sim_worker_test.go
+++ b/internal/coordination/sim_worker_test.go
@@ -11,9 +11,9 @@
 type simWorker struct {
 	w                *world
 	id               string
-	rental           protocol.MachineRequest
+	request          protocol.MachineRequest
 	machineType      protocol.MachineType
-	rentedAt         time.Time
+	createdAt        time.Time
 	bootedAt         time.Time
 	dead             bool
 	session          uint64
@@ -75,37 +75,37 @@
 	w, j := m.w, t.job
 	w.startCount++
 	if o := w.taskWorker[t.name]; o != nil {
-		w.breakf("ran_twice: %s on %s and %s", t.name, o.id, m.id)
+		w.violationf("ran_twice: %s on %s and %s", t.name, o.id, m.id)
 	}
 	if at, ok := w.cancelConfirmedAt[j.ID]; ok && time.Since(at).Seconds() > w.settings.Deployment.Workers.CancelS {
-		w.breakf("ran_cancelled: %s starts", t.name)
+		w.violationf("ran_cancelled: %s starts", t.name)
 	} else if ok {
 		w.recordEventLocked("a start after a confirmed cancellation") // its command was under way
 		if late := t.orderedAt.Sub(at); late > w.settings.Defaults().HolderLease {
-			w.breakf("started_cancelled: %s, ordered %v after its user was told that it is cancelled", t.name, late)
+			w.violationf("started_cancelled: %s, ordered %v after its user was told that it is cancelled", t.name, late)
 		}
 	}
 	for _, id := range j.DependsOn {
 		if !w.allDone(id) {
-			w.breakf("too_early: %s before %s", t.name, id)
+			w.violationf("too_early: %s before %s", t.name, id)
 		}
 	}
-	if !allowedOn(j, m) {
-		w.breakf("wrong_place: %s on %s", t.name, m.id)
+	if !isAllowedOn(j, m) {
+		w.violationf("wrong_place: %s on %s", t.name, m.id)
 	}
 	same := 1
 	for name, o := range w.taskWorker {
 		if id, _, _ := protocol.ParseTaskName(name); id != j.ID {
 			continue
 		}
-		if o.rental.Zone == m.rental.Zone {
+		if o.request.Zone == m.request.Zone {
 			same++
 		} else if j.OneZone {
-			w.breakf("wrong_place: %s not in one zone", t.name)
+			w.violationf("wrong_place: %s not in one zone", t.name)
 		}
 	}
 	if j.Spread && same > (j.Tasks+1)/2 {
-		w.breakf("wrong_place: %s not spread", t.name)
+		w.violationf("wrong_place: %s not spread", t.name)
 	}
 	w.taskWorker[t.name] = m
 	t.active = true
@@ -115,7 +115,7 @@
 	}
 	for _, team := range w.settings.Deployment.Teams {
 		if team.Name == j.Team && w.teamCores[j.Team] > team.CPUsMax+1e-6 {
-			w.breakf("quota: %s uses %g of %g", j.Team, w.teamCores[j.Team], team.CPUsMax)
+			w.violationf("quota: %s uses %g of %g", j.Team, w.teamCores[j.Team], team.CPUsMax)
 		}
 		if team.Name == j.Team && w.teamCores[j.Team]+j.Cores > team.CPUsMax {
 			w.recordEventLocked(j.Team + " is at its limit")
@@ -191,7 +191,7 @@
 	for _, t := range m.tasks {
 		if t.status == protocol.Exited || now.Before(t.nextChange) {
 			if at, ok := m.w.cancelConfirmedAt[t.job.ID]; ok && t.active && now.Sub(at).Seconds() > m.w.settings.Deployment.Workers.CancelS {
-				m.w.breakf("ran_cancelled: %s is on %s", t.name, m.id)
+				m.w.violationf("ran_cancelled: %s is on %s", t.name, m.id)
 			}
 			continue
 		}
@@ -220,7 +220,7 @@
 				t.cause = protocol.CauseFailed
 			} else {
 				m.w.done[t.name] = true
-				m.w.taskDone(t.job)
+				m.w.recordTaskEnd(t.job)
 			}
 		case protocol.Checkpointing:
 			m.stopTask(t)
@@ -231,7 +231,7 @@
 
 func (m *simWorker) report() *protocol.Heartbeat {
 	m.sequence++
-	r := &protocol.Heartbeat{Machine: m.id, Address: m.id, MachineType: m.rental.MachineType, Zone: m.rental.Zone, Spot: m.rental.Spot,
+	r := &protocol.Heartbeat{Machine: m.id, Address: m.id, MachineType: m.request.MachineType, Zone: m.request.Zone, Spot: m.request.Spot,
 		Session: m.session, Sequence: m.sequence, FencingToken: m.token, InterruptionSeconds: m.warningS}
 	for _, t := range m.tasks {
 		r.Tasks = append(r.Tasks, protocol.TaskStatus{Task: t.name, Attempt: t.attempt, State: t.status, Cause: t.cause})
@@ -243,7 +243,7 @@
 	w := m.w
 	time.Sleep(time.Duration(1+w.intn(30))*time.Millisecond + w.heartbeatLatency())
 	w.mu.Lock()
-	n, cut, still := w.nodes[to].node, !w.reaches(m.rental.Zone, w.nodes[to]) || m.cannotSend, time.Until(w.nodes[to].pausedUntil)
+	n, cut, still := w.nodes[to].node, !w.reaches(m.request.Zone, w.nodes[to]) || m.cannotSend, time.Until(w.nodes[to].pausedUntil)
 	held := w.heldHeartbeats > 0 && w.random.IntN(w.heldHeartbeats) == 0
 	late := time.Duration(4+w.random.IntN(40)) * time.Second
 	if still > 4*time.Second { // it waits in the socket of a paused process
@@ -254,15 +254,15 @@
 	}
 	w.mu.Unlock()
 	status, orders, answerTo := 0, protocol.HeartbeatResponse{}, ""
-	trace := tracedHeartbeat{sentAt: sent, to: w.nodes[to].name, sequence: r.Sequence, fate: heartbeatDelivered}
+	trace := tracedHeartbeat{sentAt: sent, to: w.nodes[to].name, sequence: r.Sequence, outcome: heartbeatDelivered}
 	switch {
 	case cut:
-		trace.fate = heartbeatCutOff
+		trace.outcome = heartbeatCutOff
 	case held:
-		trace.fate, trace.lost = heartbeatHeldUp, true
+		trace.outcome, trace.lost = heartbeatDelayed, true
 		trace.renews = n != nil && n.mayAnswerMachine(m.id)
 	case n == nil:
-		trace.fate = heartbeatRefused
+		trace.outcome = heartbeatRefused
 	}
 	var answered time.Time
 	holds := false    // who answers holds the machine's shard
@@ -283,7 +283,7 @@
 		time.Sleep(time.Duration(1+w.intn(30))*time.Millisecond + w.heartbeatLatency())
 		if w.chance(w.heartbeatAnswers) || w.losesRenewal(m.id, status) { // the answer is lost
 			time.Sleep(4 * time.Second)
-			trace.fate, trace.renews = heartbeatAnswerLost, status == 200
+			trace.outcome, trace.renews = heartbeatAnswerLost, status == 200
 			trace.lost = status == 200 || status == 421
 			status = 0
 		}
@@ -309,7 +309,7 @@
 	switch {
 	case status == 200:
 		if m.leaseEpoch != epoch || orders.FencingToken < m.token {
-			trace.fate = heartbeatAnswerDropped
+			trace.outcome = heartbeatAnswerDropped
 			return
 		}
 		if !holds && !relayed && orders.FencingToken > m.token && m.token > 0 {
@@ -330,7 +330,7 @@
 				orders.Commands = nil
 			}
 		}
-		m.carryOut(orders.Commands, answered)
+		m.execute(orders.Commands, answered)
 	case status == 421 && answerTo != "" && answerTo != w.nodes[to].name:
 		for i, o := range w.nodes {
 			if o.name == answerTo {
@@ -356,9 +356,9 @@
 	return true
 }
 
-// carryOut carries out orders that were made at a time; the world's lock is
+// execute carries out orders that were made at a time; the world's lock is
 // held.
-func (m *simWorker) carryOut(orders []protocol.Command, made time.Time) {
+func (m *simWorker) execute(orders []protocol.Command, made time.Time) {
 	for _, o := range orders {
 		t := m.tasks[o.Task]
 		switch o.Verb {
--- a/internal/coordination/sim_world_test.go
+++ b/internal/coordination/sim_world_test.go
@@ -30,9 +30,9 @@
 	nodes                []*simNode
 	workers              map[string]*simWorker
 	ready                map[string]time.Time // when rented machines come up
-	rentals              map[string][]string
-	next                 int
-	noCloud              bool
+	machinesByRequest    map[string][]string
+	lastMachineNumber    int
+	cloudUnavailable     bool
 	zonesSeparated       bool   // workers and controllers of one zone don't reach those of another
 	isolatedZone         string // its workers and the controllers outside don't reach each other
 	maxMachines          int    // that the cloud has
@@ -50,8 +50,8 @@
 	faultSettings
 	linkLoss
 	disabledGuards
-	onStart     func() // called once, when the controllers have been started; nil: nothing is
-	afterRental func() // called once, between the first rental and its answer, which is lost
+	onStart           func() // called once, when the controllers have been started; nil: nothing is
+	afterFirstRequest func() // called once, between the first rental and its answer, which is lost
 
 	specs              map[string]*protocol.Job
 	finalStatus        map[string]string // the newest answer that must not be taken back
@@ -95,7 +95,7 @@
 type simNode struct {
 	name            string
 	node            *Node
-	wire            *simStoreLink
+	storeLink       *simStoreLink
 	stop            context.CancelFunc
 	previousVersion bool // plays the previous version
 	cutFromWorkers  bool // workers do not reach it
@@ -127,7 +127,7 @@
 	d.Cloud.RPS, d.Cloud.ListLagS = 10, 2
 	d.Limits.CPUShare = 0.1
 	return &world{settings: set, store: emulator.NewKVStore(), maxMachines: 10, fillMachines: 2, maxTasks: 9, faultSettings: faultSettings{txnFailureRate: 0.02}, linkLoss: defaultLinkLoss, random: rand.New(rand.NewPCG(seed, 1)), tweak: tweak,
-		workers: map[string]*simWorker{}, ready: map[string]time.Time{}, rentals: map[string][]string{},
+		workers: map[string]*simWorker{}, ready: map[string]time.Time{}, machinesByRequest: map[string][]string{},
 		specs: map[string]*protocol.Job{}, finalStatus: map[string]string{}, accepted: map[string]bool{},
 		cancelConfirmedAt: map[string]time.Time{}, acceptedAt: map[string]time.Time{}, cancelRequested: map[string]bool{}, done: map[string]bool{},
 		taskWorker: map[string]*simWorker{}, teamCores: map[string]float64{}, history: newHistory(), events: map[string][]time.Time{}, lastAnsweredAt: map[string]time.Time{},
@@ -153,7 +153,7 @@
 
 func (w *world) chance(p float64) bool { return float64(w.intn(1e6)) < p*1e6 }
 
-func (w *world) breakf(format string, a ...any) {
+func (w *world) violationf(format string, a ...any) {
 	if len(w.violations) < 10 {
 		w.violations = append(w.violations, fmt.Sprintf(format, a...))
 	}
@@ -167,18 +167,18 @@
 // Controllers.
 
 type simPeer struct {
-	w      *world
-	to     int
-	from   string
-	trying *sync.Mutex // held during a TryCall
+	w        *world
+	to       int
+	from     string
+	tryMutex *sync.Mutex // held during a TryCall
 }
 
 // TryCall fails while another is under way, and is like Call otherwise.
 func (p simPeer) TryCall(timeout time.Duration, in, out any) error {
-	if !p.trying.TryLock() {
+	if !p.tryMutex.TryLock() {
 		return errors.New("busy")
 	}
-	defer p.trying.Unlock()
+	defer p.tryMutex.Unlock()
 	return p.Call(timeout, in, out)
 }
 
@@ -247,7 +247,7 @@
 	w.mu.Lock()
 	old := w.nodes[i].previousVersion
 	w.mu.Unlock()
-	wr := &simStoreLink{s: w.store, rnd: rand.New(rand.NewPCG(uint64(w.intn(1e6)), 7)), failureRate: w.txnFailureRate, previousVersion: old, note: w.recordEvent, latency: w.storeLatency, pauseLeft: func() time.Duration { return w.pauseLeft(i) }}
+	wr := &simStoreLink{store: w.store, random: rand.New(rand.NewPCG(uint64(w.intn(1e6)), 7)), failureRate: w.txnFailureRate, previousVersion: old, recordOutcome: w.recordEvent, latency: w.storeLatency, pauseLeft: func() time.Duration { return w.pauseLeft(i) }}
 	wr.lateRate, wr.lostRate, wr.dropPreconditions, wr.staleReads = w.lateTxnRate, w.lostAnswerRate, w.disabledGuards.conditions, w.disabledGuards.reads
 	st := storage.NewClientWithTransport(wr, set.Deployment.State.RPS, set.Deployment.State.WriteRPS, 3)
 	n := w.newNode(i, &set, op, st, peers)
@@ -257,7 +257,7 @@
 	}
 	ctx, stop := context.WithCancel(w.ctx)
 	w.mu.Lock()
-	w.nodes[i].node, w.nodes[i].wire, w.nodes[i].stop, w.nodes[i].starting = n, wr, stop, false
+	w.nodes[i].node, w.nodes[i].storeLink, w.nodes[i].stop, w.nodes[i].starting = n, wr, stop, false
 	w.mu.Unlock()
 	w.spawn(func() { n.Run(ctx) })
 }
@@ -436,14 +436,14 @@
 	why := w.explainUnfinished()
 	w.mu.Lock()
 	for _, why := range w.store.TakeOversized() {
-		w.breakf("over a limit of the state service: %s", why)
+		w.violationf("over a limit of the state service: %s", why)
 	}
 	for id := range w.accepted {
 		if w.finalStatus[id] == "" {
-			w.breakf("never over: %s: %s", id, why[id])
+			w.violationf("never over: %s: %s", id, why[id])
 		}
 		if ago := time.Since(w.lastAnsweredAt[id]); ago > 75*time.Second {
-			w.breakf("forgotten: no answer about %s for %v", id, ago)
+			w.violationf("forgotten: no answer about %s for %v", id, ago)
 		}
 	}
 	w.mu.Unlock()
--- a/internal/coordination/unanswered_start_test.go
+++ b/internal/coordination/unanswered_start_test.go
@@ -12,23 +12,23 @@
 // unansweredStart is a case of direct starts that are unanswered as two zones stop
 // reaching each other.
 type unansweredStart struct {
-	fate           string
+	outcome        string
 	maxDelay       time.Duration // the starts arrive within so long, or after the end
 	cancelled      bool          // jobs are cancelled during the cut
 	holderReplaced bool
 	proxyRestarted bool
 }
 
-// ciUnansweredStarts is every how many cases CI plays one; -all plays all.
-const ciUnansweredStarts = 9
+// ciUnansweredStartStep is every how many cases CI plays one; -all plays all.
+const ciUnansweredStartStep = 9
 
 // unansweredStarts returns all combinations.
 func unansweredStarts() (cases []unansweredStart) {
 	for _, c := range []unansweredStart{
-		{fate: "carried out, answer lost", maxDelay: minCommandDelay + sec/2},
-		{fate: "late during the cut", maxDelay: 40 * sec},
-		{fate: "late, also after the cut", maxDelay: 150 * sec},
-		{fate: "lost", maxDelay: 24 * time.Hour},
+		{outcome: "carried out, answer lost", maxDelay: minCommandDelay + sec/2},
+		{outcome: "late during the cut", maxDelay: 40 * sec},
+		{outcome: "late, also after the cut", maxDelay: 150 * sec},
+		{outcome: "lost", maxDelay: 24 * time.Hour},
 	} {
 		for k := range 8 {
 			c.cancelled, c.holderReplaced, c.proxyRestarted = k&1 != 0, k&2 != 0, k&4 != 0
@@ -49,10 +49,10 @@
 		list = append(list, cancelFaults(2, 0, 61*sec, 66*sec, 80*sec)...)
 	}
 	if c.holderReplaced {
-		list = append(list, fault{at: 75 * sec, kind: controllerEnds, target: theBusiest, duration: 6 * sec})
+		list = append(list, fault{at: 75 * sec, kind: controllerEnds, target: targetBusiest, duration: 6 * sec})
 	}
 	if c.proxyRestarted {
-		list = append(list, fault{at: 90 * sec, kind: controllerEnds, target: theRest, duration: 300 * time.Millisecond})
+		list = append(list, fault{at: 90 * sec, kind: controllerEnds, target: targetNonLeaders, duration: 300 * time.Millisecond})
 	}
 	return list
 }
@@ -61,16 +61,16 @@
 // unanswered (issue 46): they are kept, whatever becomes of the start.
 func TestUnansweredStartLosesNoTaskBehindCut(t *testing.T) {
 	for k, c := range unansweredStarts() {
-		if k%ciUnansweredStarts != 0 && !*all {
+		if k%ciUnansweredStartStep != 0 && !*all {
 			continue
 		}
-		t.Run(fmt.Sprintf("%s, cancelled %v, holder replaced %v, proxy restarted %v", c.fate, c.cancelled, c.holderReplaced, c.proxyRestarted), func(t *testing.T) {
+		t.Run(fmt.Sprintf("%s, cancelled %v, holder replaced %v, proxy restarted %v", c.outcome, c.cancelled, c.holderReplaced, c.proxyRestarted), func(t *testing.T) {
 			t.Parallel()
 			const maxSeeds = 40
 			for seed := range uint64(maxSeeds) {
 				w := c.play(t, seed)
 				w.check(t)
-				if lost := keptLeases(w); lost != "" && !c.holderReplaced {
+				if lost := leaseExpiryViolation(w); lost != "" && !c.holderReplaced {
 					t.Error(lost)
 				}
 				if t.Failed() || len(w.events["a heartbeat proxy answers under a newer token"]) > 0 {
--- a/internal/coordination/waiting_worlds_test.go
+++ b/internal/coordination/waiting_worlds_test.go
@@ -58,7 +58,7 @@
 	case 0:
 		w.script = append(w.script, fault{at: 20 * sec, kind: txnsLate, share: 0.3, duration: 85 * sec})
 	case 1:
-		w.script = append(w.script, fault{at: 60 * sec, kind: controllerEnds, target: theBusiest, duration: 15 * sec})
+		w.script = append(w.script, fault{at: 60 * sec, kind: controllerEnds, target: targetBusiest, duration: 15 * sec})
 	case 2:
 		w.script = append(w.script, fault{at: 60 * sec, kind: storeOutage, duration: 12 * sec})
 	}
