--- a/internal/coordination/cut_meetings_test.go
+++ b/internal/coordination/cut_meetings_test.go
@@ -7,7 +7,8 @@
 	"time"
 )
 
-// cutOverlap is a fault that meets a cut between zones from 60 s to 120 s.
+// cutOverlap is a fault that overlaps a network partition between zones, which lasts from 60 s to
+// 120 s.
 type cutOverlap struct {
 	name  string
 	fault fault
@@ -24,21 +25,21 @@
 	{"a proxy that stands still", fault{at: 66 * sec, kind: controllerPauses, target: targetNonLeaders, duration: 6 * sec}},
 }
 
-// allCutOverlapSeeds is how many seeds -all plays of each; CI plays one.
+// allCutOverlapSeeds is the number of seeds that -all plays per fault; CI plays one.
 const allCutOverlapSeeds = 40
 
-// Guards against tasks dropped by the end of a lease where a cut between zones meets
-// another fault.
+// Guards against tasks lost to an expired worker lease when a partition between zones
+// overlaps another fault.
 func TestCutMeetsAnotherFault(t *testing.T) {
 	seeds := uint64(1)
 	if *all {
 		seeds = allCutOverlapSeeds
 	}
-	for _, meeting := range cutOverlaps {
-		t.Run(meeting.name, func(t *testing.T) {
+	for _, overlap := range cutOverlaps {
+		t.Run(overlap.name, func(t *testing.T) {
 			t.Parallel()
 			for seed := uint64(1); seed <= seeds; seed++ {
-				w := meeting.play(t, seed)
+				w := overlap.play(t, seed)
 				w.check(t)
 				if lost := leaseExpiryViolation(w); lost != "" {
 					t.Errorf("seed %d: %s\n%s", seed, lost, strings.Join(w.leaseEnds, "\n"))
@@ -48,7 +49,7 @@
 	}
 }
 
-// play plays the cut and the fault that meets it; long jobs run in both zones.
+// play simulates the partition and the fault, with long jobs running in both zones.
 func (m cutOverlap) play(t *testing.T, seed uint64) *world {
 	var w *world
 	synctest.Test(t, func(t *testing.T) {
--- a/internal/coordination/disabled_guards_test.go
+++ b/internal/coordination/disabled_guards_test.go
@@ -12,8 +12,8 @@
 	"reedtrack/internal/dispatch"
 )
 
-// disabledGuard is a guard of the program that a test disables, inside or from
-// outside.
+// disabledGuard is a safety check that a test disables, either in the node itself
+// or by changing what the simulated world delivers to it.
 type disabledGuard struct {
 	tweak   func(n *Node)
 	inWorld disabledGuards
@@ -23,7 +23,7 @@
 	return disabledGuard{tweak: func(n *Node) { n.guards = g }}
 }
 
-// Names of the guards that are disabled.
+// Names of the guards that tests can disable.
 const (
 	guardLeaseValidity     = "a holder stops acting when its lease or its copy is too old"
 	guardWorkerLease       = "a silent machine's tasks are there until its worker's lease is over"
@@ -54,9 +54,9 @@
 	guardStartBeforeStop:   disableGuard(dispatch.WithoutStartBeforeStop),
 }
 
-// firstViolation is the first violation that begins with a rule's name, or
-// empty; that a cancelled task stays beyond the bound is one. That a job is
-// late is none.
+// firstViolation returns the first violation that begins with a rule's name, or an
+// empty string. With an empty rule a cancelled task that outlives the cancellation
+// bound counts too. Jobs that merely finish or start late don't count.
 func (w *world) firstViolation(rule string) string {
 	i := slices.IndexFunc(w.violations, func(b string) bool {
 		return strings.HasPrefix(b, rule) && !strings.HasPrefix(b, "never over") && !strings.HasPrefix(b, "left waiting")
@@ -70,13 +70,13 @@
 	return w.violations[i]
 }
 
-// detectionSeeds is how many seeds of a scenario are searched for what a
-// disabled guard breaks, and detectionBatch how many of them at a time: one
-// violation ends the search.
+// detectionSeeds is the number of seeds searched for a violation caused by a
+// disabled guard, and detectionBatch the number played in parallel. The search ends
+// with the first violation.
 const detectionSeeds, detectionBatch = 120, 4
 
-// detect plays a scenario without a guard until there is a violation, and tells
-// which.
+// detect plays a scenario with a guard disabled until a violation occurs, and returns
+// the violation and its seed.
 func (m *scenario) detect(t *testing.T, g disabledGuard) (string, uint64) {
 	for from := uint64(1); from <= detectionSeeds; from += detectionBatch {
 		var broken [detectionBatch]string
@@ -95,22 +95,22 @@
 	return "", 0
 }
 
-// guardsModelChecked are guards for which another test that CI runs whole
-// searches every order of events.
+// guardsModelChecked maps guards to the model-checking test case, run in full by CI,
+// that explores every order of events for them.
 var guardsModelChecked = map[string]string{
 	guardStartBeforeStop: "TestStartsModelChecked/cancelled",
 	guardStartsInFlight:  "TestStartsModelChecked/proxy_answers",
 }
 
-// Every scenario detects a disabled guard. CI plays those that do so within a
-// few seeds, the flag -all plays all.
+// Every scenario detects its disabled guard. CI plays those that do so within a few
+// seeds; the flag -all plays all.
 func TestScenariosDetectDisabledGuards(t *testing.T) {
 	played := map[string]bool{}
 	for i := range scenarios {
 		m := &scenarios[i]
 		g, ok := guardVariants[m.detects.guard]
 		if !ok {
-			t.Errorf("%q names no guard that it finds", m.name)
+			t.Errorf("%q names no known guard", m.name)
 			continue
 		}
 		if !m.detects.inCI && !*all {
@@ -121,14 +121,14 @@
 			t.Parallel()
 			broken, seed := m.detect(t, g)
 			if broken == "" {
-				t.Error("left out, and the scenario does not notice")
+				t.Error("the scenario does not detect the disabled guard")
 			}
 			t.Logf("seed %d: %s", seed, broken)
 		})
 	}
 	for _, name := range slices.Sorted(maps.Keys(guardVariants)) {
 		if !played[name] && guardsModelChecked[name] == "" {
-			t.Errorf("no scenario is for the guard %q", name)
+			t.Errorf("no scenario detects a disabled guard %q", name)
 		}
 	}
 }
--- a/internal/coordination/failover_delay_test.go
+++ b/internal/coordination/failover_delay_test.go
@@ -12,17 +12,18 @@
 	"reedtrack/internal/storage"
 )
 
-// failoverWrites counts and decides the writes by which a shard comes to its next holder.
+// failoverWrites counts the writes that give a shard to its next holder, and decides their
+// outcomes.
 type failoverWrites struct {
-	unanswered int // of the first copies of each sender and kind
+	unanswered int // how many first copies per sender and key get no answer
 	lateBy     time.Duration
 	mu         sync.Mutex
 	copies     map[string]int
-	carriedOut map[string]int // by key and the revision that they depend on
+	carriedOut map[string]int // by key and preconditions
 }
 
-// failoverKey returns the key that decides a failover that a transaction writes;
-// empty: none.
+// failoverKey returns the leader or shard key that a transaction writes, or an empty string
+// if it writes neither.
 func failoverKey(txn protocol.Txn) string {
 	for _, write := range txn.Writes {
 		if _, isShard := storage.ParseShardKey(write.Put); isShard || write.Put == storage.LeaderKey {
@@ -32,7 +33,7 @@
 	return ""
 }
 
-// decide returns the fate of a transaction of a controller.
+// decide returns the outcome of a controller's transaction.
 func (f *failoverWrites) decide(sender string, txn protocol.Txn) forcedOutcome {
 	key := failoverKey(txn)
 	if key == "" {
@@ -41,14 +42,14 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.copies[sender+key]++
-	fate := forcedOutcome{done: func(status int) { f.recordDone(fmt.Sprint(key, txn.Preconditions), status) }}
+	outcome := forcedOutcome{done: func(status int) { f.recordDone(fmt.Sprint(key, txn.Preconditions), status) }}
 	if f.copies[sender+key] <= f.unanswered {
-		fate.late = f.lateBy
+		outcome.late = f.lateBy
 	}
-	return fate
+	return outcome
 }
 
-// recordDone counts the copies of a write that were carried out.
+// recordDone counts the copies of a write that were committed.
 func (f *failoverWrites) recordDone(write string, status int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -57,7 +58,7 @@
 	}
 }
 
-// unheldShards returns how many shards no controller holds that may act.
+// unheldShards returns the number of shards that no controller holds under a valid lease.
 func (w *world) unheldShards() int {
 	held := map[int]bool{}
 	for i := range w.nodes {
@@ -74,9 +75,9 @@
 	return len(w.nodes) - len(held)
 }
 
-// Guards against workers that wait for the next holder of their shard since the writes by
-// which it is granted get no answer: the leader's key, then the shard's lease. The holder
-// that has gone leads as well.
+// Guards against workers that lose their shard's holder for long because the writes of a
+// failover get no answer: first the leader key, then the shard's lease. The holder that
+// fails is also the leader.
 func TestFailoverOutlivesUnansweredWrites(t *testing.T) {
 	for _, unanswered := range []int{0, 1, 2} {
 		t.Run(fmt.Sprint(unanswered, " unanswered"), func(t *testing.T) {
@@ -98,19 +99,19 @@
 					n.storeLink.mu.Unlock()
 				}
 				w.endSession(leader)
-				gone := time.Now()
-				for time.Since(gone) < maxProxyDelay && w.unheldShards() > 0 {
+				failedAt := time.Now()
+				for time.Since(failedAt) < maxProxyDelay && w.unheldShards() > 0 {
 					time.Sleep(50 * time.Millisecond)
 				}
-				t.Logf("%d shards without a holder after %v", w.unheldShards(), time.Since(gone))
+				t.Logf("%d shards without a holder after %v", w.unheldShards(), time.Since(failedAt))
 				if w.unheldShards() > 0 {
-					t.Errorf("%d shards without a holder %v after theirs has gone", w.unheldShards(), time.Since(gone))
+					t.Errorf("%d shards without a holder %v after their holder failed", w.unheldShards(), time.Since(failedAt))
 				}
 				time.Sleep(2 * lateBy)
 				stop()
 				for write, count := range writes.carriedOut {
 					if count > 1 {
-						t.Errorf("%d copies carried out: %s", count, write)
+						t.Errorf("%d copies committed: %s", count, write)
 					}
 				}
 				w.check(t)
@@ -119,7 +120,7 @@
 	}
 }
 
-// endSession ends a controller's process for good, and its lease with it.
+// endSession stops a controller for good and revokes its lease.
 func (w *world) endSession(i int) {
 	n := w.node(i)
 	n.mu.Lock()
--- a/internal/coordination/fault_pairs_test.go
+++ b/internal/coordination/fault_pairs_test.go
@@ -8,8 +8,7 @@
 	"time"
 )
 
-// defaultFault returns a fault of a kind with the parameters that it mostly
-// has.
+// defaultFault returns a fault of a kind with typical parameters.
 func defaultFault(k faultKind, at, lasts time.Duration) fault {
 	f := fault{at: at, kind: k, duration: lasts, count: 3, share: 0.4, target: targetLeader}
 	switch k {
@@ -29,7 +28,7 @@
 	return f
 }
 
-// faultPair is two kinds of faults and how they overlap in time.
+// faultPair is a pair of fault kinds and their relative timing.
 type faultPair struct {
 	a      faultKind
 	b      faultKind
@@ -49,7 +48,7 @@
 	return append(cancelFaults(2, 0, at+5*sec, b+3*sec), defaultFault(p.a, at, lasts), defaultFault(p.b, b, lasts))
 }
 
-// faultPairs lists every pair of kinds, a kind with itself too, in every
+// faultPairs lists every pair of kinds, including a kind with itself, in every
 // timing.
 func faultPairs() []faultPair {
 	var list []faultPair
@@ -67,11 +66,11 @@
 	return list
 }
 
-// ciPairStep: CI plays one of so many pairs, chosen so that every kind meets
-// several others; -all plays all.
+// ciPairStep is the step at which CI samples the pairs, chosen so that every kind is
+// paired with several others; -all plays all.
 const ciPairStep = 13
 
-// No rule is violated when two kinds of faults meet, whichever and however.
+// No invariant is violated when any two kinds of faults coincide, in any timing.
 func TestFaultPairs(t *testing.T) {
 	list := faultPairs()
 	if !*all {
@@ -97,7 +96,7 @@
 			})
 			w.check(t)
 			if len(w.events[string(p.a)]) == 0 || len(w.events[string(p.b)]) == 0 {
-				t.Error("one of the two did not begin")
+				t.Error("one of the two faults was not injected")
 			}
 		})
 	}
--- a/internal/coordination/golden_test.go
+++ b/internal/coordination/golden_test.go
@@ -16,11 +16,11 @@
 	"reedtrack/internal/protocol"
 )
 
-// Controllers of two versions tell each other how they stand. Each message reads
-// what the version before wrote, with and without values, and writes the same
-// bytes. A renamed field without its former CBOR name fails here, in the messages or
-// in what they contain, and so does a new field until the golden file has it. Maps
-// have one element: their order is not fixed.
+// Controllers of two versions exchange status messages. Each message decodes what the
+// previous version encoded, with and without values, and encodes to the same bytes. A
+// renamed field without its former CBOR name fails here, in the messages or in nested
+// types, and so does a new field until the golden file contains it. Maps have one
+// element because their encoding order is not fixed.
 func TestStatusGolden(t *testing.T) {
 	messages := map[string]any{"status": Status{}, "reply": StatusReply{}, "shard status": ShardStatus{}, "shard reply": ShardReply{}}
 	seen := map[string]bool{}
@@ -62,8 +62,8 @@
 	}
 }
 
-// A status of the former version, which tells nothing of what shards have machines for,
-// reads as it did, and one without such values is written as that version wrote it.
+// A status of the previous version, which lacks the startable tasks and the room of
+// shards, decodes as before, and one without such values is encoded as that version did.
 func TestStatusOfFormerVersion(t *testing.T) {
 	raw, err := os.ReadFile("testdata/status.former.golden")
 	if err != nil {
@@ -81,17 +81,17 @@
 		}
 		for _, shard := range status.Shards {
 			if shard.Startable != nil || shard.Room != nil || shard.quotaClaim("red").Startable != nil {
-				t.Errorf("%s: reads %+v", name, shard)
+				t.Errorf("%s: decoded as %+v", name, shard)
 			}
 		}
 		if got, _ := cbor.Marshal(status); hex.EncodeToString(got) != want {
-			t.Errorf("%s is written in another way", name)
+			t.Errorf("%s: encoding differs from the golden file", name)
 		}
 	}
 }
 
-// unsetFields names the exported fields that are zero, also in the first element of each list
-// and map.
+// unsetFields returns the paths of exported fields that are zero, including those in the first
+// element of each list and map.
 func unsetFields(v reflect.Value, path string) (fields []string) {
 	switch {
 	case v.IsZero():
@@ -110,8 +110,8 @@
 	return fields
 }
 
-// What is refused is answered as it was: a renamed error or field of one that
-// changes the status, the text or the field named fails here.
+// Guards the answers to refused requests: renaming an error or a field of one fails here
+// if it changes the status, the text or the reported field.
 func TestRefusalsGolden(t *testing.T) {
 	for _, c := range []struct {
 		err  error
--- a/internal/coordination/guards_test.go
+++ b/internal/coordination/guards_test.go
@@ -17,11 +17,11 @@
 
 func (f roundTripFunc) RoundTrip(r *http.Request) (*http.Response, error) { return f(r) }
 
-// fourCores is the size of every machine here: four cores.
+// fourCores is the size of every machine in these tests.
 func fourCores(string) (placement.Resources, bool) { return placement.Resources{4, 0, 16}, true }
 
-// shardWithUnusedShare returns a controller whose shard has all of a team's
-// quota and uses none of it while another shard is short, and whose writes are
+// shardWithUnusedShare returns a controller whose shard holds all of a team's
+// quota and uses none of it while another shard needs some, and whose writes are
 // lost.
 func shardWithUnusedShare() (n *Node, s *shard, rec *storage.Grant, sent *int) {
 	w := newWorld(1, nil)
@@ -37,8 +37,8 @@
 	return n, s, rec, sent
 }
 
-// A share once lowered stays low until a newer record says otherwise: the write
-// that lowers it may be applied long after it was given up.
+// A lowered share is not raised until a newer record says so: the write that lowers
+// it may be committed long after its sender timed out.
 func TestLoweredShareStays(t *testing.T) {
 	n, s, rec, _ := shardWithUnusedShare()
 	n.writeGrants(context.Background())
@@ -57,8 +57,8 @@
 	}
 }
 
-// A write that lowered a share and was not carried out is repeated, also when
-// no shard is short any more: the share is not used meanwhile.
+// A write that lowered a share and was lost is repeated, also when no shard needs the
+// quota any more: the share is not used meanwhile.
 func TestLostLoweringIsRepeated(t *testing.T) {
 	n, s, _, sent := shardWithUnusedShare()
 	time.Sleep(700 * time.Millisecond) // a process begins with a small write budget
@@ -72,9 +72,9 @@
 	}
 }
 
-// After a failover a task that was not reported is absent only once every
-// inherited machine has reported with the new token, or has been silent for
-// longer than its worker's lease.
+// After a failover an unreported task counts as not running only once every inherited
+// machine has reported with the new token or has been silent for longer than its
+// worker's lease.
 func TestUnconfirmedUntilReconciled(t *testing.T) {
 	now := time.Now()
 	s := newShard(0, storage.ShardLease{FencingToken: 7}, 50, now)
@@ -87,7 +87,7 @@
 		t.Fatal("only jobs older than the lease are unconfirmed")
 	}
 	if u := s.unreportedCapacity(); u.Cores != 8 {
-		t.Errorf("machines that have not reported count %v", u)
+		t.Errorf("capacity counted for unreported machines: %v", u)
 	}
 	a, b := s.machines["a"], s.machines["b"]
 	s.receiveHeartbeat(a, &protocol.Heartbeat{Machine: "a", Session: 1, Sequence: 1, FencingToken: 3}, now)
@@ -96,7 +96,7 @@
 	}
 	s.receiveHeartbeat(a, &protocol.Heartbeat{Machine: "a", Session: 1, Sequence: 2, FencingToken: 7, Tasks: []protocol.TaskStatus{{Task: "wk-1/1", Attempt: 9, State: protocol.Running}}}, now)
 	if !a.isReconciled() || !j.unconfirmed || j.attempts[1] == nil {
-		t.Error("one of two machines is reconciled, and its task is known")
+		t.Error("want one of two machines reconciled, and its task known")
 	}
 	s.expireSilentMachines(now.Add(9*time.Second), 10*time.Second)
 	if b.isReconciled() || !j.unconfirmed {
@@ -109,8 +109,8 @@
 	}
 }
 
-// The tasks of a job whose record can't be decoded are neither stopped nor
-// taken for absent: their machine counts in full and gets nothing new.
+// The tasks of a job whose record can't be decoded are neither stopped nor assumed
+// absent: their machine counts as fully used and gets no new tasks.
 func TestUnreadableJobIsLeftAlone(t *testing.T) {
 	now := time.Now()
 	s := newShard(0, storage.ShardLease{FencingToken: 1}, 1, now)
@@ -127,8 +127,8 @@
 	}
 }
 
-// oneTask returns a shard with a machine, granted under its lease, and a job of
-// one task.
+// oneTask returns a shard with one machine, granted under the shard's lease, and a job
+// of one task.
 func oneTask(now time.Time) (*shard, *machine, *job) {
 	s := newShard(0, storage.ShardLease{FencingToken: 1}, 1, now)
 	s.setGrant(storage.Grant{Machines: []storage.MachineLease{{Machine: "a", FencingToken: 2}}}, fourCores, now)
@@ -137,8 +137,8 @@
 	return s, s.machines["a"], j
 }
 
-// A start whose answer was lost is taken back once a later heartbeat lacks the
-// task, and is sent again with a higher attempt number.
+// A start whose answer was lost is dropped once a later heartbeat lacks the task, and
+// is sent again with a higher attempt number.
 func TestLostStartIsSentAgain(t *testing.T) {
 	now := time.Now()
 	s, m, j := oneTask(now)
@@ -158,9 +158,8 @@
 	}
 }
 
-// A new leader takes a granted machine for removed once a list lacks it that
-// must be newer than the grant; before that, and when it is listed, it does
-// not.
+// A new leader considers a granted machine removed once a machine list that must be
+// newer than the grant lacks it, and not before.
 func TestNewLeaderFindsRemovedMachines(t *testing.T) {
 	w := newWorld(1, nil)
 	n := New(w.settings, w.settings.Defaults(), nil, listingCloud{}, nil, nil)
@@ -185,8 +184,8 @@
 	return protocol.MachineList{Machines: []protocol.ListedMachine{{ID: "listed", Status: "running"}}}, nil
 }
 
-// A machine on which tasks run more than twice as long as others of their job
-// did gets no more, and one slow task alone is not enough.
+// A machine on which tasks run more than twice as long as others of their job gets no
+// more tasks; a single slow task is not enough.
 func TestSlowMachineGetsNoTasks(t *testing.T) {
 	now := time.Now()
 	s := newShard(0, storage.ShardLease{FencingToken: 1}, 1, now)
@@ -214,8 +213,8 @@
 	}
 }
 
-// A machine that was silent for longer than its lease and returns, empty under
-// its next session, is used again; one that stays away is released.
+// A machine whose lease expired is used again when it returns empty in a new session;
+// one that stays silent is released.
 func TestSilentMachineMayReturn(t *testing.T) {
 	now := time.Now()
 	never := func(machineKind) time.Duration { return time.Hour }
@@ -240,8 +239,8 @@
 	}
 }
 
-// A migrating job is not placed until its record has changed: a write that was
-// not answered may be applied later, and would let both shards start its tasks.
+// A migrating job is not placed until its record has changed: an unanswered write may
+// be committed later, and both shards would then start its tasks.
 func TestMigratingJobNotPlacedUntilConfirmed(t *testing.T) {
 	w := newWorld(1, nil)
 	answers := []error{errors.New("lost"), errors.New("lost")}
@@ -270,7 +269,7 @@
 	job(0, 9)
 	s.jobs["wk-1"].receivedAt = time.Now().Add(-time.Minute)
 	for _, k := range s.jobs["wk-1"].suitableKinds(&planInput{machineTypes: simMachineTypes}) {
-		n.noCapacityUntil[k] = time.Now().Add(time.Hour) // no machines are to be had
+		n.noCapacityUntil[k] = time.Now().Add(time.Hour) // no capacity in the cloud
 	}
 	p := n.newPlanInput(time.Now())
 	s.queue = s.orderQueue(p, time.Now())
@@ -278,13 +277,13 @@
 	for range 2 {
 		n.migrateJobs(context.Background())
 		if j := s.jobs["wk-1"]; !j.migrating || len(s.orderQueue(p, time.Now())) != 0 {
-			t.Fatal("placed while its move may still be applied")
+			t.Fatal("placed while its migration may still be committed")
 		}
 	}
 	if len(answers) != 0 {
-		t.Fatal("the move was not repeated")
+		t.Fatal("the migration was not repeated")
 	}
-	job(0, 12) // another write was first: the migration has failed for good
+	job(0, 12) // another write came first: the migration has failed for good
 	if len(s.orderQueue(p, time.Now())) != 1 {
 		t.Error("not placed though its migration has failed for good")
 	}
@@ -294,8 +293,8 @@
 	}
 }
 
-// What the cloud has none of is not requested again by requests that were
-// queued before, but one that may have been carried out is repeated.
+// Queued requests for a machine type without capacity are dropped, but a request that
+// may have been executed is repeated.
 func TestNoCapacityDropsQueuedRequests(t *testing.T) {
 	w := newWorld(1, nil)
 	n := New(w.settings, w.settings.Defaults(), nil, noCapacityCloud{}, nil, nil)
@@ -325,8 +324,8 @@
 	return nil, ErrNoCapacity
 }
 
-// With grants in chunks a change of machine leases alone does not raise a share
-// that is being lowered: the write that lowers it may still be applied.
+// With grants in chunks, a change of machine leases alone does not raise a share that
+// is being lowered: the write that lowers it may still be committed.
 func TestLoweredShareStaysWithGrantChunks(t *testing.T) {
 	w := newWorld(1, nil)
 	st := storage.NewClientWithTransport(roundTripFunc(func(*http.Request) (*http.Response, error) { return nil, errors.New("lost") }), 1000, 1000, 1)
@@ -349,10 +348,10 @@
 	}
 }
 
-// A start that was sent directly and not answered stays bound to its worker.
-// The next answer carries the same attempt again, and once it has ended the
-// worker is not told to forget it while the copy may arrive, nor is the task
-// started there again; a new session ends all that.
+// A direct start without an answer binds its attempt to the worker. The next heartbeat
+// response repeats the same attempt. After the attempt has ended, the worker is not
+// told to clear it while the message may still arrive, nor is the task started there
+// again. A new session lifts both restrictions.
 func TestUnansweredDirectStartStaysBound(t *testing.T) {
 	now := time.Now()
 	s, m, j := oneTask(now)
@@ -370,7 +369,7 @@
 	s.finishDirect(&f, DirectAnswer{}, now)
 	s.receiveHeartbeat(m, &protocol.Heartbeat{Machine: "a", Session: 1, Sequence: 2, FencingToken: 2}, now)
 	if j.attempts[0] != r {
-		t.Fatal("dropped as absent, though the message may still arrive")
+		t.Fatal("dropped as absent although the message may still arrive")
 	}
 	if o := s.buildOrders(m, now); len(o) != 1 || o[0].Attempt != r.number || o[0].Verb != protocol.VerbStart {
 		t.Fatalf("orders %v", o)
@@ -386,12 +385,12 @@
 	}
 	s.receiveHeartbeat(m, &protocol.Heartbeat{Machine: "a", Session: 2, Sequence: 5, FencingToken: 2}, now)
 	if !j.canPlaceOn(m) {
-		t.Error("its new session refuses the copy")
+		t.Error("not placeable although the new session rejects the delayed message")
 	}
 }
 
-// A heartbeat that was in flight when a newer answer to a direct message
-// arrived is answered, since its worker waits, and takes nothing back.
+// A heartbeat that is overtaken by a newer answer to a direct message is answered, as
+// its worker waits, but changes no state.
 func TestHeartbeatOvertakenByDirectAnswer(t *testing.T) {
 	now := time.Now()
 	s, m, j := oneTask(now)
--- a/internal/coordination/invariants_test.go
+++ b/internal/coordination/invariants_test.go
@@ -13,7 +13,7 @@
 	"reedtrack/internal/storage"
 )
 
-// runSeeds plays several seeds in parallel and checks the rules.
+// runSeeds plays several seeds in parallel and checks the invariants.
 func runSeeds(t *testing.T, seeds uint64, play func(t *testing.T, w *world)) {
 	for seed := uint64(1); seed <= seeds; seed++ {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -34,7 +34,7 @@
 	w.check(t)
 }
 
-// The rules hold under random faults, and every job ends.
+// The invariants hold under random faults, and every job ends.
 func TestInvariants(t *testing.T) {
 	runSeeds(t, 12, func(t *testing.T, w *world) {
 		w.play(24, 240*time.Second, 400*time.Second)
@@ -44,21 +44,21 @@
 	})
 }
 
-// allowMachines makes room for hundreds of machines.
+// allowMachines raises quotas and capacity to hundreds of machines.
 func (w *world) allowMachines(machines int) {
 	w.settings.Deployment.Teams = []config.Team{{Name: "red", CPUs: 300, CPUsMax: 500}, {Name: "blue", CPUs: 300, CPUsMax: 900}}
 	w.maxMachines, w.maxTasks = machines, 120
 }
 
-// The same at a size at which a shard has more machines than a value holds, and
-// with a store whose values, transactions and write rate are small.
+// The invariants hold when a shard has more machines than fit into one value, with
+// small limits on the store's values, transactions and write rate.
 func TestInvariantsAtSize(t *testing.T) {
-	const runs, tries = 2, 6 // runs that reach the size, and seeds for each of them
+	const runs, tries = 2, 6 // runs that reach the size, and seeds tried for each
 	for k := range uint64(runs) {
 		t.Run(fmt.Sprint(k+1), func(t *testing.T) {
 			t.Parallel()
-			// How large shards get differs between two runs of one seed: where
-			// they stay small the next seed is played, under the same rules.
+			// Shard sizes differ between two runs of one seed: if they stay too
+			// small, the next seed is played under the same checks.
 			var why string
 			for try := range uint64(tries) {
 				if why = runSeedAtSize(t, 1+k+runs*try); why == "" || t.Failed() {
@@ -70,8 +70,8 @@
 	}
 }
 
-// runSeedAtSize plays a seed with hundreds of machines, and says what it did
-// not reach.
+// runSeedAtSize plays a seed with hundreds of machines. It returns a description of
+// the size that was not reached, or an empty string.
 func runSeedAtSize(t *testing.T, seed uint64) (missing string) {
 	runSeed(t, seed, func(t *testing.T, w *world) {
 		w.allowMachines(300)
@@ -87,11 +87,11 @@
 	return missing
 }
 
-// Controllers of the previous version are replaced one after the other while
-// they serve, die before and after their turn, and the store's limits are
-// lowered while the records are split. The previous version is played by this
-// one with the new keys hidden from it and refused to it: it then writes what
-// the previous version writes, which TestPreviousVersionRecords compares.
+// Rolling upgrade under load: controllers of the previous version are replaced one by
+// one, crash before and after their replacement, and the store's limits are lowered
+// while records are split. The previous version is simulated by the current one with
+// the new keys hidden from it and refused to it. It then writes the same records as
+// the previous version, which TestPreviousVersionRecords verifies.
 func TestUpgradeWhileServing(t *testing.T) {
 	runSeeds(t, 4, func(t *testing.T, w *world) {
 		w.allowMachines(200)
@@ -102,15 +102,15 @@
 		w.upgrade, w.fillMachines = true, 150
 		w.play(50, 160*time.Second, 400*time.Second)
 		if !w.limitsLowered || w.jobsWithDependencies == 0 || w.startCount < 500 {
-			t.Errorf("limits fell: %v, %d jobs waited, %d tasks started", w.limitsLowered, w.jobsWithDependencies, w.startCount)
+			t.Errorf("limits lowered: %v, %d jobs with dependencies, %d tasks started", w.limitsLowered, w.jobsWithDependencies, w.startCount)
 		}
 	})
 }
 
-// With a guard disabled on purpose the same checker finds violations: a holder
-// that takes three seconds of silence for absence starts tasks twice, one that
-// takes any job for done starts others too early, and one that takes cancelled
-// jobs for done lets their dependents run.
+// With a guard disabled the checker finds violations: a holder that considers a worker
+// gone after three seconds of silence starts tasks twice, one that considers any job
+// done starts dependents too early, and one that considers cancelled jobs done lets
+// their dependents run.
 func TestCheckerDetectsViolations(t *testing.T) {
 	for rule, tweak := range map[string]func(n *Node){
 		"ran_twice": func(n *Node) { n.timing.WorkerTimeout = 3 * time.Second },
@@ -137,7 +137,7 @@
 				})
 			}
 			if !found {
-				t.Error("not noticed")
+				t.Error("no violation detected")
 			}
 		})
 	}
--- a/internal/coordination/late_start_test.go
+++ b/internal/coordination/late_start_test.go
@@ -7,13 +7,12 @@
 	"reedtrack/internal/protocol"
 )
 
-// A task of a job is started directly and the answer is lost; the task runs to its end.
-// From then on no task of that job was placed on that machine any more, for as long as
-// the machine was leased, since a copy of the start may still arrive: but only another
-// attempt of that same task would be in its way, and a completed task has none. Jobs
-// waited beside a machine of their own shard that was nearly empty. In 240 plays of the
-// row of slow links, with a limit of 40 s instead of 90 (a trial), wk-000035 was left
-// waiting five times; in four of them a machine with room had a line such as
+// Guards against a lost answer to a direct start that keeps the whole job off the machine.
+// The start may still arrive later, which conflicts only with another attempt of the same
+// task, and a completed task has none. Before, no task of the job was placed on the machine
+// for as long as it was leased, and jobs waited beside a nearly empty machine of their own
+// shard: wk-000035 in 5 of 240 runs of the scenario of slow links, with a limit of 40 s
+// instead of 90 s. In four of them a machine with room had a line such as
 // `host-000009 big used 8/16 schedulable true, may arrive [wk-000035/3 ...]`.
 func TestLostAnswerKeepsNoOtherTaskAway(t *testing.T) {
 	now := time.Now()
@@ -21,18 +20,18 @@
 	j.spec.Tasks = 2
 	attempt := startUnanswered(s, m, j, protocol.CauseDone, now)
 	if len(s.buildOrders(m, now)) != 0 || !m.exchange.StartMayArrive(attempt.key) {
-		t.Fatal("the machine is told to forget the attempt, though a copy of its start may arrive")
+		t.Fatal("the machine is told to clear the attempt although its start may still arrive")
 	}
 	if !j.done.Contains(0) || j.pendingTasks() != 1 {
 		t.Fatalf("%d tasks pending", j.pendingTasks())
 	}
 	if !j.canPlaceOn(m) {
-		t.Error("the second task can't be placed beside the first, which has completed")
+		t.Error("the second task can't be placed although the first has completed")
 	}
 }
 
-// A stopped task keeps only itself away: another pending task of its job is placed there
-// in its place.
+// A stopped task whose start may still arrive is not placed on the machine again, but
+// another pending task of its job is.
 func TestStoppedTaskKeepsNoOtherTaskAway(t *testing.T) {
 	now := time.Now()
 	s, m, j := oneTask(now)
@@ -46,15 +45,15 @@
 	}
 	j.attempts[1], j.unfinishedAttempts = &taskAttempt{}, 1
 	if j.canPlaceOn(m) || j.takeTaskFor(m) >= 0 {
-		t.Error("the stopped task is placed where a copy of its start may arrive")
+		t.Error("the stopped task is placed on the machine where its start may still arrive")
 	}
 	if task := j.takePendingTask(); task != 0 {
-		t.Errorf("task %d is pending elsewhere, not the stopped one", task)
+		t.Errorf("task %d is pending for other machines, want the stopped one", task)
 	}
 }
 
-// The task itself stays away while it may have another attempt: a service's task, and one
-// that was stopped.
+// A task that may have another attempt is kept off the machine while its start may still
+// arrive: a service's task, and a stopped one.
 func TestLostAnswerKeepsTheTaskItselfAway(t *testing.T) {
 	for cause, kind := range map[string]string{protocol.CauseDone: "standing", protocol.CauseStopped: "array"} {
 		now := time.Now()
@@ -68,7 +67,7 @@
 }
 
 // startUnanswered starts a job's first task directly, loses the answer, and has the next
-// heartbeat report the attempt, which it returns, as ended.
+// heartbeat report the attempt as ended. It returns the attempt.
 func startUnanswered(s *shard, m *machine, j *job, cause string, now time.Time) *taskAttempt {
 	s.receiveHeartbeat(m, &protocol.Heartbeat{Machine: "a", Address: "a:1", Session: 1, Sequence: 1, FencingToken: 2}, now)
 	attempt := s.place(j, j.takePendingTask(), m)
--- a/internal/coordination/limits_test.go
+++ b/internal/coordination/limits_test.go
@@ -16,8 +16,8 @@
 	"reedtrack/internal/storage"
 )
 
-// A grant builder accepts machines until one more would exceed a limit of the
-// store, and what it holds then is within all of them.
+// A grant builder accepts machines until one more would exceed a limit of the store, and
+// the resulting grants are within all limits.
 func TestGrantBuilderKeepsLimits(t *testing.T) {
 	for _, c := range []struct {
 		valueKB    float64
@@ -69,8 +69,8 @@
 	}
 }
 
-// A shard that is always full returns quota once another is short: tasks that
-// end are not followed by others beyond its fair share.
+// A fully used shard returns quota once another shard needs it: beyond its fair share,
+// tasks that end are not replaced.
 func TestFullShardReturnsShare(t *testing.T) {
 	now := time.Now()
 	w := newWorld(1, nil)
@@ -96,7 +96,7 @@
 		s.fillMachine(m, p.teams)
 	}
 	if used := s.used["red"].Cores; used > 75 {
-		t.Errorf("uses %g, though half is another's", used)
+		t.Errorf("uses %g although half belongs to another shard", used)
 	}
 	n.peerStatus["n1"].Shards[0].Desired = nil
 	n.limitToFairShares(s)
@@ -104,12 +104,11 @@
 		s.fillMachine(m, p.teams)
 	}
 	if used := s.used["red"].Cores; used != 80 {
-		t.Errorf("uses %g, though nobody else wants any", used)
+		t.Errorf("uses %g although no other shard needs quota", used)
 	}
 }
 
-// A controller is overloaded by what it has been seen to use of its processor
-// share.
+// A controller's load is its measured CPU time relative to its processor share.
 func TestCPUMeterMeasuresUseOfShare(t *testing.T) {
 	var m cpuMeter
 	at := time.Now()
@@ -119,11 +118,11 @@
 		at, used = at.Add(meterInterval), used+meterInterval/20
 	}
 	if m.utilization < 0.45 || m.utilization > 0.55 {
-		t.Errorf("a twentieth of the time is half of a tenth, not %g", m.utilization)
+		t.Errorf("utilization %g, want 0.5: a twentieth of the time with a share of a tenth", m.utilization)
 	}
 }
 
-// A job whose record would exceed the store's value limit is refused for good
+// A job whose record would exceed the store's value limit is rejected permanently
 // instead of being retried.
 func TestTooLargeJobRecordIsRefused(t *testing.T) {
 	n := New(newWorld(1, nil).settings, newWorld(1, nil).settings.Defaults(), nil, nil, nil, nil)
@@ -138,8 +137,8 @@
 	}
 }
 
-// A catalog that is larger than a value is stored in chunks, and shows as a
-// whole.
+// A catalog larger than a value is stored in chunks, and takes effect only when all
+// chunks are known.
 func TestLargeCatalogIsStoredInChunks(t *testing.T) {
 	n := New(newWorld(1, nil).settings, newWorld(1, nil).settings.Defaults(), nil, nil, nil, nil)
 	var c protocol.Catalog
@@ -155,7 +154,7 @@
 			t.Errorf("%d bytes at %s", len(raw), w.Put)
 		}
 		if len(n.records.MachineTypes) != 0 {
-			t.Errorf("%d of %d parts count", i, len(writes))
+			t.Errorf("catalog takes effect after %d of %d chunks", i, len(writes))
 		}
 		n.apply(w.Put, raw, 9)
 	}
@@ -163,12 +162,12 @@
 		t.Error(len(writes), diff)
 	}
 	if w := catalogWrites(protocol.Catalog{MachineTypes: simMachineTypes}, config.Limits{ValueKB: 1}); len(w) != 1 || w[0].Put != storage.CatalogKey {
-		t.Error("a short catalog is not written as before")
+		t.Error("a small catalog is not written as a single record")
 	}
 }
 
-// Machines of many chunks are released a few chunks at a time when the write
-// budget is small: a transaction of all of them would never be sent (inc-fdf3).
+// With a small write budget, machines of many chunks are released a few chunks at a
+// time: a single transaction for all of them would never be sent (inc-fdf3).
 func TestReleaseWithinWriteBudget(t *testing.T) {
 	w := newWorld(1, nil)
 	w.settings.Deployment.State.WriteRPS = 3
--- a/internal/coordination/lost_answers_test.go
+++ b/internal/coordination/lost_answers_test.go
@@ -10,15 +10,16 @@
 	"time"
 )
 
-// A worker waits 4 s for an answer that is lost. That many such waits fit into the
-// lease after the longest heartbeat interval, and as many ways back to the holder don't.
+// A worker waits 4 s for an answer that is lost. This lease has room for that many such
+// waits after the longest heartbeat interval, but not for a detour back to the holder after
+// each of them.
 const (
 	lostRenewals      = 5
 	lostRenewalsLease = 24.5 // seconds
 )
 
-// Guards against workers whose lease ends since the way back to the holder costs them
-// the attempts that lost answers leave.
+// Guards against workers whose lease expires because, after lost answers, they use up their
+// remaining attempts on the detour back to the holder.
 func TestLostAnswersInARowEndNoLease(t *testing.T) {
 	for seed := uint64(1); seed <= 3; seed++ {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
@@ -28,7 +29,7 @@
 	}
 }
 
-// checkLostRenewals plays a world in which one worker loses answers in a row.
+// checkLostRenewals simulates a worker that loses several answers in a row.
 func checkLostRenewals(t *testing.T, seed uint64) {
 	w := newWorld(seed, nil)
 	w.linkLoss = linkLoss{answersToLose: map[string]int{}}
@@ -46,8 +47,8 @@
 	}
 }
 
-// loseRenewals has the worker with the most tasks lose so many answers that would renew
-// its lease.
+// loseRenewals makes the worker with the most tasks lose the given number of answers that
+// would renew its lease.
 func (w *world) loseRenewals(count int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/coordination/model_check_test.go
+++ b/internal/coordination/model_check_test.go
@@ -16,15 +16,13 @@
 	"reedtrack/internal/storage"
 )
 
-// The explorer plays every order of events, up to a bound, between holders,
-// which are the real code, and plain models of two workers and of a network
-// that loses and delays messages. One task of one core has room on either
-// worker.
+// The explorer is a bounded model checker. It plays every order of events between
+// holders, which are the real code, and simple models of two workers and of a network
+// that loses and delays messages. The one task of one core fits on either worker.
 //
-// In every state it checks what could start now or ever: what is on a worker,
-// and what a message that is still in flight would start there. All of that
-// must be known to the holder that may place the task; then nothing runs twice,
-// over a quota, or after a cancellation that was confirmed.
+// In every state it determines which attempts run or could still be started by a message
+// in flight. The holder that may place the task must know all of them; then no task runs
+// twice, beyond a quota, or after a confirmed cancellation.
 
 const modelWorkerCount = 2
 
@@ -32,13 +30,13 @@
 	token               uint64
 	session             uint64
 	sequence            uint64
-	tasks               map[string]modelTask        // by name
-	report              *protocol.Heartbeat         // made, and not yet received by the holder
+	tasks               map[string]modelTask        // by task name
+	report              *protocol.Heartbeat         // sent, and not yet received by the holder
 	awaitsAnswer        bool                        // of a heartbeat
 	answer              *protocol.HeartbeatResponse // in flight
 	answeredAfterCancel bool                        // the answer was made after the cancellation
-	renewed             bool                        // has had an answer since its session began
-	renewedAfterCancel  bool                        // has had one that was made after the cancellation
+	renewed             bool                        // has received an answer in its current session
+	renewedAfterCancel  bool                        // has received an answer that was made after the cancellation
 }
 
 type modelTask struct {
@@ -47,19 +45,18 @@
 	cause   string
 }
 
-// modelMessage is a direct message to a worker. givenUp: its sender waits no
-// longer.
+// modelMessage is a direct message to a worker.
 type modelMessage struct {
 	to       int
 	message  directMessage
 	payload  protocol.DirectCommands
-	timedOut bool
-	reply    *DirectAnswer // carried out, and its answer in flight
+	timedOut bool          // its sender waits no longer
+	reply    *DirectAnswer // the answer in flight, once the message was executed
 	holder   *shard
 }
 
-// searchBounds limits how often the rarer events happen, so that the explorer gets
-// deep.
+// searchBounds limits how often the rarer events happen, so that the search reaches
+// greater depths.
 type searchBounds struct {
 	sent          int
 	emptyMessages int
@@ -75,15 +72,15 @@
 	fences        int
 }
 
-// holderFault is what a holder does wrong on purpose.
+// holderFault is a deliberate fault of a holder.
 type holderFault string
 
 const (
 	faultNone                holderFault = ""
-	faultSkipsReconciliation holderFault = "trusting"      // counts machines as reconciled after a failover
+	faultSkipsReconciliation holderFault = "trusting"      // counts machines as reconciled right after a failover
 	faultReleasesNonEmpty    holderFault = "hasty release" // releases a machine that is not empty
 	faultProxyDuringStart    holderFault = "hasty proxy"   // lets a proxy answer while a start is in flight
-	faultEarlyExpiry         holderFault = "impatient"     // counts tasks as lost before the worker's lease has expired
+	faultEarlyExpiry         holderFault = "impatient"     // considers tasks lost before the worker's lease has expired
 )
 
 // explorer is one state of holders, workers and network.
@@ -96,7 +93,7 @@
 	job       *job
 	workers   [modelWorkerCount]*modelWorker
 	direct    []*modelMessage
-	late      []*protocol.Heartbeat // heartbeats that their workers have given up
+	late      []*protocol.Heartbeat // heartbeats that timed out at their workers
 	cancelled bool                  // the job was cancelled
 	taskDone  bool
 	sent      int // direct messages so far
@@ -106,7 +103,7 @@
 	now       time.Time
 }
 
-// newExplorer begins with both machines reconciled and nothing placed.
+// newExplorer returns a state with both machines reconciled and nothing placed.
 func newExplorer(g dispatch.DisabledGuards, b searchBounds, fault holderFault) *explorer {
 	x := &explorer{guards: g, bounds: b, fault: fault, now: time.Unix(1e9, 0), lastToken: 10}
 	for i := range x.workers {
@@ -137,7 +134,7 @@
 	s.guards = x.guards
 	var g storage.Grant
 	for _, i := range machines {
-		// Granted under an earlier lease: the machines have to report first.
+		// Granted under an earlier lease, so that the machines have to report first.
 		g.Machines = append(g.Machines, storage.MachineLease{Machine: modelWorkerName(i), MachineType: "small", Zone: "a", FencingToken: 1})
 	}
 	s.setGrant(g, modelMachineSize, x.now)
@@ -156,7 +153,7 @@
 	x.holder.addJob(x.job)
 }
 
-// machineOf returns a worker's machine with the shard that has it.
+// machineOf returns a worker's machine and the shard that it is granted to.
 func (x *explorer) machineOf(i int) (*shard, *machine) {
 	for _, s := range []*shard{x.holder, x.other} {
 		if s != nil && s.machines[modelWorkerName(i)] != nil {
@@ -166,8 +163,8 @@
 	return nil, nil
 }
 
-// nextEvents returns the events that may come next, by name. They are played in
-// the order of their names, which decides what a bounded search reaches.
+// nextEvents returns the events that may happen next, by name. They are played in the
+// order of their names, which determines what a bounded search reaches.
 func (x *explorer) nextEvents() map[string]func() {
 	events := map[string]func(){}
 	for i, w := range x.workers {
@@ -188,7 +185,7 @@
 	return events
 }
 
-// addHeartbeatEvents adds what may happen between a worker and its holder.
+// addHeartbeatEvents adds the exchange of heartbeats between a worker and its holder.
 func (x *explorer) addHeartbeatEvents(events map[string]func(), i int, w *modelWorker) {
 	at := modelWorkerName(i)
 	if !w.awaitsAnswer {
@@ -210,9 +207,9 @@
 	}
 }
 
-// addProxyEvents adds the answer of a heartbeat proxy, given instead of the
-// holder's once that has acknowledged that no start is in flight, and the fence of
-// one that is.
+// addProxyEvents adds the answer of a heartbeat proxy, which replaces the holder's once
+// the holder has acknowledged that no start is in flight, and the fencing of a start
+// that is in flight.
 func (x *explorer) addProxyEvents(events map[string]func(), i int, w *modelWorker, s *shard, m *machine) {
 	if w.report != nil && x.bounds.proxyAnswers > 0 && m.isReconciled() && (!m.hasStartInFlight() || x.fault == faultProxyDuringStart) {
 		events["proxy answers "+modelWorkerName(i)] = func() {
@@ -230,8 +227,8 @@
 	}
 }
 
-// addDirectMessageEvents adds the placement of the task, and direct messages
-// with and without commands.
+// addDirectMessageEvents adds the placement of the task and direct messages, with or
+// without commands.
 func (x *explorer) addDirectMessageEvents(events map[string]func(), i int, s *shard, m *machine) {
 	at := modelWorkerName(i)
 	send := func() {
@@ -255,7 +252,7 @@
 	}
 }
 
-// addTaskEvents adds the ends of a worker's tasks, and of its lease.
+// addTaskEvents adds the end of a worker's tasks and the expiry of its lease.
 func (x *explorer) addTaskEvents(events map[string]func(), i int, w *modelWorker) {
 	at := modelWorkerName(i)
 	for name, task := range w.tasks {
@@ -280,11 +277,11 @@
 	}
 }
 
-// addHolderEvents adds what a holder may conclude or decide about a machine.
+// addHolderEvents adds what a holder may detect or decide about a machine.
 func (x *explorer) addHolderEvents(events map[string]func(), i int, w *modelWorker, s *shard, m *machine) {
 	at := modelWorkerName(i)
-	// Silent for longer than the lease: the worker has expired since its last
-	// answer, and none is in flight.
+	// Silent for longer than the lease: the worker's lease has expired since its last
+	// answer, and no answer is in flight.
 	if (w.session > m.exchange.Session() || x.fault == faultEarlyExpiry) && m.hasReported() && !w.renewed && w.answer == nil && !m.isExpired() {
 		events["silent "+at] = func() { s.markLost(m); s.updateReconciled() }
 	}
@@ -299,7 +296,7 @@
 	}
 }
 
-// releaseAndGrantAgain moves a machine from the holder's shard to another.
+// releaseAndGrantAgain moves a machine from the holder's shard to another shard.
 func (x *explorer) releaseAndGrantAgain(name string, s *shard, m *machine) {
 	for _, attempt := range m.attempts {
 		s.dropAttempt(attempt)
@@ -313,7 +310,7 @@
 	x.other.setGrant(grant, modelMachineSize, x.now)
 }
 
-// addDeliveryEvents adds what may become of a direct message.
+// addDeliveryEvents adds the possible outcomes of a direct message.
 func (x *explorer) addDeliveryEvents(events map[string]func(), at string, d *modelMessage) {
 	if d.reply == nil {
 		events["arrives "+at] = func() { x.deliver(d) }
@@ -349,7 +346,7 @@
 	}
 }
 
-// failOver gives the holder's shard to another controller.
+// failOver gives the holder's shard to a new holder.
 func (x *explorer) failOver() {
 	x.bounds.failovers--
 	var machines []int
@@ -469,19 +466,19 @@
 	}
 }
 
-// violation says what could break a rule in this state; empty: nothing.
+// violation describes how this state could violate an invariant; empty if it can't.
 func (x *explorer) violation() string {
 	type at struct {
 		worker  int
 		attempt uint64
 	}
-	var can []at // what runs, or may yet be started by what is in flight
+	var startable []at // attempts that run, or may still be started by a message in flight
 	active := 0
 	for i, w := range x.workers {
 		for _, t := range w.tasks {
 			if t.active {
 				active++
-				can = append(can, at{i, t.attempt})
+				startable = append(startable, at{i, t.attempt})
 			}
 		}
 	}
@@ -495,29 +492,29 @@
 		}
 		for _, o := range d.payload.Commands {
 			if t, ok := w.tasks[o.Task]; o.Verb == protocol.VerbStart && (!ok || !t.active && t.attempt != o.Attempt) {
-				can = append(can, at{d.to, o.Attempt})
+				startable = append(startable, at{d.to, o.Attempt})
 				if x.cancelled && w.renewedAfterCancel {
-					return "ran_cancelled: a copy can start it, though the worker's lease was renewed since the cancellation"
+					return "ran_cancelled: a message in flight can start it although the worker's lease was renewed after the cancellation"
 				}
 			}
 		}
 	}
-	for _, c := range can {
+	for _, c := range startable {
 		m := x.holder.machines[modelWorkerName(c.worker)]
 		if m == nil {
 			return fmt.Sprintf("attempt %d can start on machine %s, which was released", c.attempt, modelWorkerName(c.worker))
 		}
 		if !m.isReconciled() || len(m.orphans) > 0 {
-			continue // counts in full, and nothing unconfirmed starts
+			continue // counts as fully used, and no unconfirmed job starts
 		}
 		if r := m.attempts[taskKey{"wk-1", 0}]; r == nil || r.number != c.attempt {
-			return fmt.Sprintf("attempt %d is or can start on machine %s, and its holder does not know it", c.attempt, modelWorkerName(c.worker))
+			return fmt.Sprintf("attempt %d runs or can start on machine %s, and its holder does not know it", c.attempt, modelWorkerName(c.worker))
 		}
 	}
 	return ""
 }
 
-// sequences lists the sequence numbers that occur in the state, in order.
+// sequences lists the distinct sequence numbers in the state, in ascending order.
 func (x *explorer) sequences() []uint64 {
 	var all []uint64
 	for i, w := range x.workers {
@@ -542,7 +539,7 @@
 	return slices.Compact(all)
 }
 
-// stateKey tells states apart. Sequences count only by their order.
+// stateKey identifies a state. Sequence numbers are replaced by their rank.
 func (x *explorer) stateKey() string {
 	all := x.sequences()
 	rank := func(t uint64) int { return sort.Search(len(all), func(i int) bool { return all[i] >= t }) }
@@ -594,8 +591,8 @@
 	return strings.Join(list, ",")
 }
 
-// explore plays all orders of events breadth first until so many states are
-// known, or all. A state is reached by playing its events from the beginning:
+// explore searches all orders of events breadth first until maxStates states are known,
+// or all. Each state is reached by replaying its events from the start, as the state of
 // the real code can't be copied.
 func explore(g dispatch.DisabledGuards, b searchBounds, fault holderFault, maxStates int) (states int, trace []string, violation string) {
 	seen := map[string]bool{}
@@ -626,17 +623,16 @@
 	return len(seen), nil, ""
 }
 
-// Whatever arrives in whatever order, a task can start only where its holder
-// expects it. With a guard disabled, or a holder that is faulty on purpose, the
-// same explorer finds a violation. REEDTRACK_EXPLORE sets how many states of
-// each case are explored.
+// In any order of messages a task can start only where its holder expects it. With a
+// guard disabled, or with a deliberately faulty holder, the same search finds a
+// violation. REEDTRACK_EXPLORE sets the number of states explored per case.
 func TestStartsModelChecked(t *testing.T) {
 	maxStates := 4000
 	fmt.Sscan(os.Getenv("REEDTRACK_EXPLORE"), &maxStates)
 	for name, c := range map[string]struct {
 		bounds searchBounds
-		guards dispatch.DisabledGuards // left out to show that the explorer notices
-		fault  holderFault             // likewise
+		guards dispatch.DisabledGuards // disabled to show that the search detects it
+		fault  holderFault             // injected for the same purpose
 	}{
 		"messages lost and late": {searchBounds{sent: 2, attempts: 2, ends: 1, late: 1}, dispatch.WithoutBinding, faultNone},
 		"answer lost":            {searchBounds{sent: 1, emptyMessages: 1, attempts: 2}, dispatch.WithoutResponseOrder, faultNone},
@@ -657,9 +653,9 @@
 			}
 			t.Logf("%d states", states)
 			if states, trace, why = explore(c.guards, c.bounds, c.fault, maxStates); why == "" {
-				t.Errorf("not noticed that it is broken, in %d states", states)
+				t.Errorf("injected fault not detected in %d states", states)
 			}
-			t.Logf("broken: %s after %d events of %d states: %s", why, len(trace), states, strings.Join(trace, ", "))
+			t.Logf("with the fault: %s after %d events, %d states: %s", why, len(trace), states, strings.Join(trace, ", "))
 		})
 	}
 }
--- a/internal/coordination/outage_gap_test.go
+++ b/internal/coordination/outage_gap_test.go
@@ -13,25 +13,25 @@
 	"reedtrack/internal/storage"
 )
 
-// all: play all combinations, of which CI plays a bounded part.
-var all = flag.Bool("all", false, "play all combinations of troubles, not only those of CI")
+// all plays all combinations; CI plays a bounded part of them.
+var all = flag.Bool("all", false, "play all combinations of faults, not only those of CI")
 
-// outageGap is one way in which the store refuses a controller alone and then
-// everybody.
+// outageGap is a case in which the store first refuses a single controller and then has
+// an outage for all.
 type outageGap struct {
 	outageDelay     time.Duration // from the refusal to the outage
 	outage          time.Duration
-	target          faultTarget // whom the store refuses
-	leaderHoldsAll  bool        // the leader has all machines, else another controller has
-	concurrentFault faultKind   // what else goes on
+	target          faultTarget // controllers that the store refuses
+	leaderHoldsAll  bool        // the leader holds all machines; otherwise another controller does
+	concurrentFault faultKind   // injected in addition
 }
 
 func (g outageGap) String() string {
 	return fmt.Sprintf("%v, out for %v, %s refused, leader holds %v, %s", g.outageDelay, g.outage, g.target, g.leaderHoldsAll, g.concurrentFault)
 }
 
-// makeLeader makes the controller with the most work the leader, or another
-// one.
+// makeLeader makes the controller with the most tasks the leader, or another one if
+// busiest is false.
 func (w *world) makeLeader(busiest bool) {
 	for range 100 {
 		if l := w.leader(); l >= 0 && (l == w.targets(targetBusiest)[0]) == busiest {
@@ -43,9 +43,9 @@
 	}
 }
 
-// play has long tasks on all machines, and lets users cancel their jobs through
-// the other controllers all through the gap. The world that it returns knows
-// how long after the confirmation the last of their tasks ended, at most.
+// play runs long tasks on all machines while users cancel their jobs through the other
+// controllers during the whole gap. The longestAfterCancel of the world that it returns is
+// the longest time from a confirmed cancellation to the end of a task.
 func (g outageGap) play(t *testing.T, seed uint64, tweak func(*Node)) *world {
 	w := newWorld(seed, tweak)
 	w.txnFailureRate = 0
@@ -72,14 +72,14 @@
 		}
 	}
 	w.makeLeader(g.leaderHoldsAll)
-	time.Sleep(10 * time.Second) // until all is settled
+	time.Sleep(10 * time.Second) // until the state is stable
 	w.mu.Lock()
 	if len(w.taskWorker) < 30 {
 		t.Errorf("only %d tasks run", len(w.taskWorker))
 	}
 	w.longestAfterCancel = 0
 	w.mu.Unlock()
-	// The refused controller gets no requests of users: another confirms.
+	// Users can't reach the refused controller, so another one confirms.
 	for _, i := range w.targets(g.target) {
 		w.nodes[i].cutFromUsers = true
 	}
@@ -93,10 +93,10 @@
 		w.injectFault(fault{kind: machinesHang, duration: 15 * time.Second, count: 5})
 	case machinesCannotSend, machinesCannotReceive, directSlow, txnAnswersLost, heartbeatCopiesLate, txnsLate:
 		w.injectFault(fault{kind: g.concurrentFault, duration: long, count: 5, share: 0.5})
-	case controllerPauses: // from before the refusal to a while after
+	case controllerPauses: // from the refusal until 1 s into the outage, at most 6 s
 		w.injectFault(fault{kind: controllerPauses, target: g.target, duration: min(g.outageDelay+time.Second, 6*time.Second)})
 	}
-	// One a twelfth of the gap, the first before it begins.
+	// One per twelfth of the gap, the first at its start.
 	for k, u := range users {
 		w.spawn(func() {
 			time.Sleep(g.outageDelay * time.Duration(k) / time.Duration(len(users)))
@@ -110,21 +110,21 @@
 	return w
 }
 
-// outageGaps lists the gaps that CI plays: every time between refusal and
-// outage with every length of the outage and target, and each fault alongside
-// with each time.
+// outageGaps lists the cases to play. -all plays all combinations; CI plays every delay
+// between refusal and outage with every outage duration and target, and every concurrent
+// fault with every delay.
 func outageGaps(lease time.Duration) []outageGap {
 	times := []time.Duration{0, 100 * time.Millisecond, 500 * time.Millisecond, 1500 * time.Millisecond, 2 * time.Second, 5 * time.Second,
 		lease - 200*time.Millisecond, lease + 200*time.Millisecond}
 	outages := []time.Duration{12 * time.Second, 60 * time.Second}                                                      // shorter and longer than cancel_s
-	roles := []outageGap{{target: targetLeader, leaderHoldsAll: true}, {target: targetLeader}, {target: targetBusiest}} // both, leader alone, holder alone
-	beside := []faultKind{"nothing else", machinesHang, machinesCannotSend, directSlow, controllerPauses, txnAnswersLost, txnsLate, machinesCannotReceive, heartbeatCopiesLate}
+	roles := []outageGap{{target: targetLeader, leaderHoldsAll: true}, {target: targetLeader}, {target: targetBusiest}} // leader and holder, leader only, holder only
+	concurrent := []faultKind{"nothing else", machinesHang, machinesCannotSend, directSlow, controllerPauses, txnAnswersLost, txnsLate, machinesCannotReceive, heartbeatCopiesLate}
 	var list []outageGap
 	for i, d := range times {
 		for k, out := range outages {
 			for r, role := range roles {
-				for b, kind := range beside {
-					if !*all && (i+k+2*r+b)%len(beside) > 1 {
+				for b, kind := range concurrent {
+					if !*all && (i+k+2*r+b)%len(concurrent) > 1 {
 						continue
 					}
 					list = append(list, outageGap{outageDelay: d, outage: out, target: role.target, leaderHoldsAll: role.leaderHoldsAll, concurrentFault: kind})
@@ -135,10 +135,10 @@
 	return list
 }
 
-// The store refuses one controller alone, others confirm cancellations, and
-// then it is out for all, for longer than cancel_s, while the workers keep
-// reporting to the controller that was refused. All tasks of those jobs end
-// within the bound that settings are checked by.
+// The store refuses a single controller, others confirm cancellations, and then the store
+// is out for all for longer than cancel_s, while workers keep reporting to the refused
+// controller. All tasks of the cancelled jobs end within the bound against which settings
+// are validated.
 func TestCancelledWhileRefused(t *testing.T) {
 	set := newWorld(1, nil).settings
 	lease := set.Defaults().HolderLease
@@ -171,25 +171,25 @@
 			inGap++
 		}
 	}
-	// The bound is no looser than what its terms leave for clocks and timers:
-	// the lease of a worker at least has been seen.
+	// Shows that the bound is not needlessly loose: some task has to stay for at least
+	// a worker's lease.
 	if workers := config.Seconds(set.Deployment.Workers.LeaseS); longest < workers {
-		t.Errorf("the longest was %v: no scenario was the one that the bound is for", longest)
+		t.Errorf("longest time %v: no case came near the bound", longest)
 	}
 	if inGap < 20 {
-		t.Errorf("in %d only a cancellation was confirmed while a controller was refused", inGap)
+		t.Errorf("a cancellation was confirmed while a controller was refused in only %d cases", inGap)
 	}
-	t.Logf("the longest that a cancelled task stayed: %v of %s", longest, config.FormatTerms(set.CancelBound(set.Defaults())))
+	t.Logf("a cancelled task stayed for at most %v, bound %s", longest, config.FormatTerms(set.CancelBound(set.Defaults())))
 }
 
-// A controller that goes on acting though its lease or its copy is too old is
-// detected by the same runs.
+// The same case detects a controller that keeps acting although its lease or its replica
+// is too old.
 func TestRefusedHolderIsDetected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := outageGap{outageDelay: 2 * time.Second, outage: 60 * time.Second, target: targetLeader, leaderHoldsAll: true}
 		w := g.play(t, 1, func(n *Node) { n.timing.LeaseValidity = time.Hour })
 		if len(w.violations) == 0 {
-			t.Errorf("not noticed; the longest was %v", w.longestAfterCancel)
+			t.Errorf("no violation detected; longest time %v", w.longestAfterCancel)
 		}
 	})
 }
--- a/internal/coordination/questions_test.go
+++ b/internal/coordination/questions_test.go
@@ -22,8 +22,8 @@
 	"reedtrack/internal/storage"
 )
 
-// rateLimitedTransport is a link to the store that refuses requests above its
-// rate, which all controllers share.
+// rateLimitedTransport is a link to the store that rejects requests above a rate limit
+// shared by all controllers.
 type rateLimitedTransport struct {
 	http.RoundTripper
 	limit *rate.Limiter
@@ -38,21 +38,21 @@
 	return l.RoundTripper.RoundTrip(r)
 }
 
-// queryCounts counts the questions of users by how they were answered.
+// queryCounts counts the status queries of users by outcome.
 type queryCounts struct {
 	answered atomic.Int64 // as expected: the job is pending
 	refused  atomic.Int64
-	late     atomic.Int64 // answered or refused when the user no longer waits
+	late     atomic.Int64 // answered or refused after the user's timeout
 }
 
-// query asks a controller for the status of a pending job.
+// query queries a controller for the status of a pending job.
 func (c *queryCounts) query(ctx context.Context, n *Node, id string, timeout time.Duration) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	askedAt := time.Now()
 	status, err := n.JobStatus(ctx, id)
 	switch {
-	case errors.Is(err, ErrJobNotFound): // neither answered nor refused, so the sums don't match
+	case errors.Is(err, ErrJobNotFound): // not counted, so that the sums below don't match
 	case err != nil:
 		c.refused.Add(1)
 	case status.Status == protocol.Pending:
@@ -63,15 +63,15 @@
 	}
 }
 
-// A deployment of some 4,000 machines has more live jobs whose users ask every few
-// seconds than the store takes requests. Every question is answered all the
-// same, and a burst of them at one controller is answered or refused in time.
+// In a deployment of some 4,000 machines, users poll more live jobs every few seconds than
+// the store accepts requests. Every query is answered nevertheless, and a burst of queries
+// at one controller is answered or refused in time.
 func TestQuestionsOfManyUsers(t *testing.T) {
 	const (
 		requestsPerSecond = 250
 		liveJobs          = 2500
 		rounds            = 3
-		interval          = 5 * time.Second // between two questions of a user
+		interval          = 5 * time.Second // between two queries of a user
 		burst             = 5000
 		userTimeout       = 2 * time.Second
 	)
@@ -84,7 +84,7 @@
 		for i := range liveJobs {
 			records = append(records, protocol.Write{Put: storage.JobKey(jobID(i)), Value: storage.Job{Spec: protocol.Job{ID: jobID(i), Team: "red", Tasks: 1, Cores: 1}}})
 		}
-		for chunk := range slices.Chunk(records, 100) { // within the bytes of a transaction
+		for chunk := range slices.Chunk(records, 100) { // to stay within a transaction's size limit
 			storeWrite(t, w, chunk)
 		}
 		var sent atomic.Int64
@@ -115,10 +115,10 @@
 		}
 		users.Wait()
 		if regular.answered.Load() != rounds*liveJobs || regular.late.Load() > 0 {
-			t.Errorf("%d of %d questions answered, %d refused, %d late", regular.answered.Load(), rounds*liveJobs, regular.refused.Load(), regular.late.Load())
+			t.Errorf("%d of %d queries answered, %d refused, %d late", regular.answered.Load(), rounds*liveJobs, regular.refused.Load(), regular.late.Load())
 		}
 		if used := sent.Load() - sentBefore; used > int64((rounds+1)*interval.Seconds()*requestsPerSecond) {
-			t.Errorf("%d requests for %d questions", used, rounds*liveJobs)
+			t.Errorf("%d store requests for %d queries", used, rounds*liveJobs)
 		}
 
 		var atOnce queryCounts
--- a/internal/coordination/scenarios_test.go
+++ b/internal/coordination/scenarios_test.go
@@ -12,20 +12,20 @@
 	"reedtrack/internal/protocol"
 )
 
-// scenario is two or more faults that meet, as the operators name them.
+// scenario is a combination of faults, named as operators describe it.
 type scenario struct {
 	name      string
 	jobs      int // 0: 24
 	setUp     func(w *world)
 	adjustJob func(k int, j *protocol.Job, u *user)
 	script    []fault
-	// Events that have to have happened, so often at least: a run in which the
-	// faults did not meet proves nothing.
+	// Minimum counts of events: a run in which the faults did not coincide proves
+	// nothing.
 	requiredEvents map[string]int
-	// Pairs of events that have to have happened within so many seconds.
+	// Pairs of events that must have happened within a maximum gap.
 	eventPairs []eventPair
 	detects    detection
-	// Checks what only this scenario is about; empty: nothing is wrong.
+	// Additional check for this scenario; it returns an empty string on success.
 	check func(w *world) string
 }
 
@@ -35,10 +35,9 @@
 	maxGap time.Duration
 }
 
-// detection is a guard whose absence a scenario detects, and how the violation
-// begins; empty: any. Those that are detected within a few seeds are played in
-// CI, the others with -all; guards that only those are for are model checked in
-// CI.
+// detection is a guard whose absence a scenario detects, and the prefix of the expected
+// violation; empty: any. Detections that succeed within a few seeds run in CI, the others
+// with -all; guards that only the latter cover are model checked in CI.
 type detection struct {
 	guard     string
 	violation string
@@ -47,7 +46,7 @@
 
 const sec = time.Second
 
-// cancelFaults has users cancel running jobs at these times.
+// cancelFaults makes users cancel running jobs at the given times.
 func cancelFaults(count int, hang time.Duration, at ...time.Duration) []fault {
 	var list []fault
 	for _, t := range at {
@@ -65,7 +64,7 @@
 	}
 }
 
-// tightQuotas gives the teams quotas that are soon reached.
+// tightQuotas gives the teams small quotas.
 func tightQuotas(w *world) {
 	w.settings.Deployment.Teams = []config.Team{{Name: "red", CPUs: 4, CPUsMax: 9}, {Name: "blue", CPUs: 4, CPUsMax: 12}}
 }
@@ -78,16 +77,16 @@
 			fault{at: 30 * sec, kind: storeSlow, duration: 25 * sec},
 			fault{at: 60 * sec, kind: storeRefusesOne, target: targetLeader, duration: 60 * sec},
 			fault{at: 63 * sec, kind: storeOutage, duration: 55 * sec}),
-		requiredEvents: map[string]int{"the state service takes seconds": 5, "confirmed while a controller is refused": 2, "confirmed while it runs": 2}},
+		requiredEvents: map[string]int{"the state service delays a request by seconds": 5, "confirmed while a controller is refused": 2, "confirmed while it runs": 2}},
 	{name: "a transaction without an answer is carried out late, after newer ones of the same controller",
 		detects:        detection{guardPreconditions, "", true},
 		script:         []fault{{at: 15 * sec, kind: txnsLate, share: 0.35, duration: 90 * sec}, {at: 15 * sec, kind: concurrentReads, duration: 90 * sec}},
-		requiredEvents: map[string]int{"late write done behind a newer one": 2, "late write refused behind a newer one": 2}},
+		requiredEvents: map[string]int{"late write done after a newer one": 2, "late write refused after a newer one": 2}},
 	{name: "all controllers are away for longer than lease_s",
 		detects: detection{guardWorkerLease, "ran_twice", false},
 		jobs:    12, adjustJob: longJobs(60),
 		script:         append(cancelFaults(4, 0, 59*sec), fault{at: 60 * sec, kind: controllerEnds, target: targetAll, duration: 26 * sec}),
-		requiredEvents: map[string]int{"all away for a lease": 1, "confirmed while it runs": 1}},
+		requiredEvents: map[string]int{"all controllers down for a lease": 1, "confirmed while it runs": 1}},
 	{name: "a team is at its limit when the leader changes, some of its machines can't be asked, and a cancellation falls into that spell",
 		detects: detection{guardWorkerLease, "ran_twice", false},
 		setUp:   tightQuotas, jobs: 12, adjustJob: longJobs(90),
@@ -95,13 +94,13 @@
 			fault{at: 55 * sec, kind: machinesCannotSend, count: 2, duration: 15 * sec},
 			fault{at: 57 * sec, kind: zoneIsolated, zone: "b", duration: 25 * sec},
 			fault{at: 60 * sec, kind: controllerEnds, target: targetLeader, duration: 30 * sec}),
-		requiredEvents: map[string]int{"another leads": 1, "confirmed while its machine is cut off": 1},
-		eventPairs:     []eventPair{{"another leads", "confirmed while its machine is cut off", 20 * sec}, {"red is at its limit", "another leads", 60 * sec}}},
+		requiredEvents: map[string]int{"leader changed": 1, "confirmed while its machine is cut off": 1},
+		eventPairs:     []eventPair{{"leader changed", "confirmed while its machine is cut off", 20 * sec}, {"red is at its limit", "leader changed", 60 * sec}}},
 	{name: "there is more work than room, urgent and not, over slow links",
 		detects: detection{guardWorkerLease, "ran_twice", false}, jobs: 60,
 		adjustJob:      func(k int, j *protocol.Job, u *user) { u.submitAfter = min(u.submitAfter, 50*sec) },
 		script:         append(cancelFaults(3, 0, 50*sec, 70*sec), fault{at: 20 * sec, kind: heartbeatsSlow, duration: 90 * sec}),
-		requiredEvents: map[string]int{"a slow link": 100, "confirmed": 10}},
+		requiredEvents: map[string]int{"heartbeat delayed by a slow link": 100, "confirmed": 10}},
 	{name: "jobs of two or three tasks end far apart across a change of leader",
 		detects: detection{guardWorkerLease, "ran_twice", false},
 		adjustJob: func(k int, j *protocol.Job, u *user) {
@@ -111,54 +110,54 @@
 		},
 		script: []fault{{at: 50 * sec, kind: controllerEnds, target: targetLeader, duration: 500 * time.Millisecond}, {at: 75 * sec, kind: controllerEnds, target: targetLeader, duration: 20 * sec},
 			{at: 110 * sec, kind: controllerEnds, target: targetBusiest, duration: 20 * sec}},
-		requiredEvents: map[string]int{"another leads": 2, "tasks of a job end far apart across a change of leader": 3}},
+		requiredEvents: map[string]int{"leader changed": 2, "tasks of a job end far apart across a change of leader": 3}},
 	{name: "an old report arrives after newer ones, also from an earlier session or attempt",
 		detects: detection{guardHeartbeatOrder, "", true},
 		script: []fault{{at: 10 * sec, kind: heartbeatCopiesLate, share: 0.5, duration: 100 * sec}, {at: 40 * sec, kind: machinesCannotSend, count: 4, duration: 25 * sec},
 			{at: 80 * sec, kind: controllerEnds, target: targetBusiest, duration: 300 * time.Millisecond}},
-		requiredEvents: map[string]int{"copy of a report": 50, "copy of a report, a lease later": 10, "copy of a report of an earlier session": 2}},
+		requiredEvents: map[string]int{"heartbeat copy": 50, "heartbeat copy, more than a lease late": 10, "heartbeat copy of an earlier session": 2}},
 	{name: "a transaction is carried out at once and only its answer is lost, while other nodes read what it wrote",
 		detects:        detection{guardCurrentReads, "went_back", false},
 		script:         []fault{{at: 5 * sec, kind: txnAnswersLost, share: 0.4, duration: 100 * sec}, {at: 5 * sec, kind: concurrentReads, duration: 100 * sec}},
-		requiredEvents: map[string]int{"answer lost done": 20, "close look": 10, "a submission without an answer was accepted, as another finds": 2}},
+		requiredEvents: map[string]int{"answer lost done": 20, "concurrent reads": 10, "a submission without an answer was accepted, as another finds": 2}},
 	{name: "every team is at its limit while jobs are cancelled whose machines are cut off or hang, and the leader changes",
 		detects: detection{guardWorkerLease, "quota", true},
 		setUp:   tightQuotas, jobs: 12, adjustJob: longJobs(90),
 		script: append(cancelFaults(3, 14*sec, 57*sec, 61*sec, 66*sec),
 			fault{at: 55 * sec, kind: zoneIsolated, zone: "b", duration: 20 * sec},
 			fault{at: 60 * sec, kind: controllerEnds, target: targetLeader, duration: 25 * sec}),
-		requiredEvents: map[string]int{"another leads": 1, "confirmed while its machine hangs": 1, "red is at its limit": 1, "blue is at its limit": 1},
-		eventPairs:     []eventPair{{"confirmed while its machine hangs", "another leads", 20 * sec}}},
+		requiredEvents: map[string]int{"leader changed": 1, "confirmed while its machine hangs": 1, "red is at its limit": 1, "blue is at its limit": 1},
+		eventPairs:     []eventPair{{"confirmed while its machine hangs", "leader changed", 20 * sec}}},
 	{name: "workers can't open connections to any controller, while direct commands still reach them",
 		detects:        detection{guardUnansweredStart, "", false},
 		script:         append(cancelFaults(3, 0, 50*sec, 60*sec), fault{at: 45 * sec, kind: machinesCannotSend, count: 8, duration: 35 * sec}),
-		requiredEvents: map[string]int{"direct command to a mute machine": 1}},
+		requiredEvents: map[string]int{"direct command to a machine that can't send": 1}},
 	{name: "one-task jobs come four a second for minutes, a quarter of them cancelled, and the largest begin within four minutes",
 		detects: detection{guardUnansweredStart, "ran_twice", false}, jobs: 480,
 		setUp: func(w *world) { w.allowMachines(60) },
 		adjustJob: func(k int, j *protocol.Job, u *user) {
 			j.Type, j.Tasks, j.OneZone, j.Spread = "array", 1, false, false
 			u.submitAfter, u.cancels, u.cancelAfter = time.Duration(k)*sec/4, k%4 == 0, time.Duration(k%7)*sec/2
-			if k%60 == 59 { // a large one now and then
+			if k%60 == 59 { // occasionally a large job
 				j.Tasks, j.Cores, u.cancels = largeJobTasks, 3, false
 			}
 		},
 		check:          func(w *world) string { return w.lateStart(largeJobTasks, 4*time.Minute) },
 		script:         []fault{{at: 60 * sec, kind: controllerEnds, target: targetLeader, duration: 300 * time.Millisecond}},
-		requiredEvents: map[string]int{"confirmed": 30, "another leads": 1}},
+		requiredEvents: map[string]int{"confirmed": 30, "leader changed": 1}},
 	{name: "controllers hand over and back, all end, and one returns, also within a second",
 		detects: detection{guardWorkerLease, "ran_twice", false},
 		script: []fault{{at: 40 * sec, kind: controllerEnds, target: targetLeader, duration: 900 * time.Millisecond}, {at: 44 * sec, kind: controllerEnds, target: targetBusiest, duration: 900 * time.Millisecond},
 			{at: 60 * sec, kind: controllerEnds, target: targetNonLeaders, duration: 25 * sec}, {at: 60100 * time.Millisecond, kind: controllerEnds, target: targetLeader, duration: 400 * time.Millisecond},
 			{at: 100 * sec, kind: controllerEnds, target: targetAll, duration: 300 * time.Millisecond}},
-		requiredEvents: map[string]int{"another leads": 3, "one is up alone": 100}},
+		requiredEvents: map[string]int{"leader changed": 3, "one controller up": 100}},
 	{name: "a leader ends while machines with long tasks can't be reached, or don't hear the new leader's answer",
 		detects: detection{guardWorkerLease, "ran_twice", true},
 		jobs:    12, adjustJob: longJobs(120),
 		script: []fault{{at: 55 * sec, kind: machinesCannotReceive, count: 4, duration: 16 * sec}, {at: 58 * sec, kind: zoneIsolated, zone: "b", duration: 18 * sec},
 			{at: 60 * sec, kind: controllerEnds, target: targetLeader, duration: 500 * time.Millisecond}, {at: 61 * sec, kind: controllerEnds, target: targetBusiest, duration: 20 * sec}},
-		requiredEvents: map[string]int{"report answered that a deaf machine sent": 3},
-		eventPairs:     []eventPair{{"another leads", "report answered that a deaf machine sent", 15 * sec}}},
+		requiredEvents: map[string]int{"heartbeat answered whose sender can't receive": 3},
+		eventPairs:     []eventPair{{"leader changed", "heartbeat answered whose sender can't receive", 15 * sec}}},
 	{name: "jobs bound to one zone, arrays too, lose machines",
 		detects: detection{guardWorkerLease, "ran_twice", false},
 		adjustJob: func(k int, j *protocol.Job, u *user) {
@@ -175,7 +174,7 @@
 		setUp:   func(w *world) { w.quickBoots = true },
 		script: []fault{{at: 1 * sec, kind: txnsLate, share: 0.4, duration: 110 * sec}, {at: 20 * sec, kind: machinesDie, count: 3}, {at: 22 * sec, kind: controllerEnds, target: targetLeader, duration: 15 * sec},
 			{at: 50 * sec, kind: machinesDie, count: 3}, {at: 52 * sec, kind: controllerEnds, target: targetLeader, duration: 200 * time.Millisecond}, {at: 80 * sec, kind: controllerEnds, target: targetLeader, duration: 15 * sec}},
-		requiredEvents: map[string]int{"work on a machine that has just come up": 3, "another leads": 2, "late write refused behind a newer one": 1}},
+		requiredEvents: map[string]int{"task started on a newly booted machine": 3, "leader changed": 2, "late write refused after a newer one": 1}},
 	{name: "a command or its answer is held up for seconds, and the machine then goes on",
 		detects:        detection{guardUnansweredStart, "ran_twice", true},
 		script:         append(cancelFaults(3, 6*sec, 40*sec, 60*sec, 80*sec), fault{at: 15 * sec, kind: directSlow, duration: 100 * sec}, fault{at: 50 * sec, kind: machinesHang, count: 4, duration: 7 * sec}),
@@ -183,13 +182,13 @@
 	{name: "users ask at all nodes, again and again within milliseconds, and repeat the submission, right after a job was accepted, ended or confirmed as cancelled",
 		detects:        detection{guardCurrentReads, "went_back", true},
 		script:         append(cancelFaults(3, 0, 40*sec, 60*sec, 80*sec), fault{kind: concurrentReads, duration: 120 * sec}, fault{at: 10 * sec, kind: invalidRequests, duration: 100 * sec}),
-		requiredEvents: map[string]int{"close look": 20, "confirmed": 3, "odd request refused": 10}},
+		requiredEvents: map[string]int{"concurrent reads": 20, "confirmed": 3, "invalid request refused": 10}},
 	{name: "a leader is cut from the state service and from the other controllers while workers and users still reach it, and jobs are cancelled through the new one",
 		detects: detection{guardLeaseValidity, "started_cancelled", false},
 		jobs:    12, adjustJob: longJobs(120),
 		script:         append(cancelFaults(2, 0, 61*sec, 65*sec, 72*sec, 80*sec), fault{at: 60 * sec, kind: controllerIsolated, target: targetLeader, duration: 50 * sec}),
-		requiredEvents: map[string]int{"another leads": 1, "confirmed while a controller is refused": 3},
-		eventPairs:     []eventPair{{"another leads", "confirmed while a controller is refused", 20 * sec}}},
+		requiredEvents: map[string]int{"leader changed": 1, "confirmed while a controller is refused": 3},
+		eventPairs:     []eventPair{{"leader changed", "confirmed while a controller is refused", 20 * sec}}},
 	{name: "a zone with workers and a controller is cut off for longer than lease_s",
 		detects: detection{guardLeaseValidity, "started_cancelled", false},
 		jobs:    12, adjustJob: longJobs(100),
@@ -200,20 +199,20 @@
 		setUp:          func(w *world) { w.txnFailureRate = 0 },
 		adjustJob:      func(k int, j *protocol.Job, u *user) { u.cancels = u.cancels && j.IsService() },
 		script:         []fault{{kind: cancelEndingJobs, share: 0.7, duration: 120 * sec}, {kind: concurrentReads, duration: 120 * sec}},
-		requiredEvents: map[string]int{"cancelled as it ends": 5, "close look": 10}},
+		requiredEvents: map[string]int{"cancelled as it ends": 5, "concurrent reads": 10}},
 	{name: "leaders change ten times in two minutes, also inside an outage",
 		detects:        detection{guardWorkerLease, "ran_twice", false},
 		script:         append(cancelFaults(2, 0, 50*sec, 75*sec), fault{at: 20 * sec, kind: leaderChanges, count: 12, duration: 120 * sec}, fault{at: 70 * sec, kind: storeOutage, duration: 14 * sec}),
-		requiredEvents: map[string]int{"another leads": 9}},
+		requiredEvents: map[string]int{"leader changed": 9}},
 	{name: "an old report reaches every controller just as a new leader begins",
 		detects:        detection{guardFencingToken, "", true},
 		script:         []fault{{at: 30 * sec, kind: heartbeatCopiesForNextLeader, share: 0.6, duration: 80 * sec}, {at: 60 * sec, kind: controllerEnds, target: targetLeader, duration: 15 * sec}, {at: 95 * sec, kind: controllerEnds, target: targetLeader, duration: 300 * time.Millisecond}},
-		requiredEvents: map[string]int{"kept report as another begins to lead": 30}},
+		requiredEvents: map[string]int{"kept heartbeat as the leader changes": 30}},
 	{name: "jobs are cancelled in the seconds in which one controller's work changes hands",
 		detects: detection{guardWorkerLease, "ran_twice", false},
 		jobs:    12, adjustJob: longJobs(120),
 		script:         append(cancelFaults(2, 0, 59900*time.Millisecond, 60500*time.Millisecond, 62*sec, 64*sec, 66*sec, 68*sec, 70*sec, 72*sec), fault{at: 60 * sec, kind: controllerEnds, target: targetBusiest, duration: 30 * sec}),
-		requiredEvents: map[string]int{"confirmed while a controller is away": 4, "confirmed while it runs": 4}},
+		requiredEvents: map[string]int{"confirmed while a controller is down": 4, "confirmed while it runs": 4}},
 	{name: "jobs are cancelled at the very moment at which the state service refuses the leader alone, and a second later it is out for longer than cancel_s",
 		detects: detection{guardLeaseValidity, "ran_", true},
 		jobs:    12, adjustJob: longJobs(120),
@@ -224,7 +223,7 @@
 		detects: detection{guardFencingToken, "", true},
 		script: []fault{{at: 30 * sec, kind: heartbeatCopiesForNextLeader, share: 0.6, duration: 80 * sec}, {at: 55 * sec, kind: machinesHang, count: 3, duration: 10 * sec},
 			{at: 60 * sec, kind: controllerEnds, target: targetLeader, duration: 15 * sec}, {at: 62 * sec, kind: controllerEnds, target: targetBusiest, duration: 400 * time.Millisecond}},
-		requiredEvents: map[string]int{"kept report after the new leader acted": 30}},
+		requiredEvents: map[string]int{"kept heartbeat after the new leader acted": 30}},
 	{name: "a command of a leader that has since ended or been deposed arrives after the new leader's",
 		detects: detection{guardWorkerLease, "ran_twice", false},
 		jobs:    100, setUp: func(w *world) { w.allowMachines(24); w.maxTasks = 6 },
@@ -232,7 +231,7 @@
 		script: []fault{{at: 20 * sec, kind: directLate, share: 0.4, duration: 115 * sec}, {at: 40 * sec, kind: controllerEnds, target: targetBusiest, duration: 15 * sec},
 			{at: 65 * sec, kind: controllerEnds, target: targetLeader, duration: 300 * time.Millisecond}, {at: 72 * sec, kind: controllerEnds, target: targetBusiest, duration: 300 * time.Millisecond},
 			{at: 85 * sec, kind: controllerIsolated, target: targetBusiest, duration: 25 * sec}},
-		requiredEvents: map[string]int{"late command arrives after the next holder's": 2, "late command of a process that has ended refused": 1, "another leads": 1}},
+		requiredEvents: map[string]int{"late command arrives after the next holder's": 2, "late command of a process that has ended refused": 1, "leader changed": 1}},
 	{name: "the former holder's command arrives before the next holder's first has reached the machine",
 		detects: detection{guardWorkerLease, "ran_twice", false},
 		jobs:    40, script: []fault{{at: 20 * sec, kind: directLate, share: 0.8, maxDelay: 40 * sec, duration: 115 * sec}, {at: 40 * sec, kind: controllerEnds, target: targetBusiest, duration: 15 * sec},
@@ -260,7 +259,7 @@
 		jobs:    40, script: append(cancelFaults(3, 0, 30*sec, 50*sec, 70*sec, 90*sec),
 			fault{at: 10 * sec, kind: directLate, share: 0.9, verb: protocol.VerbStop, maxDelay: 30 * sec, duration: 120 * sec},
 			fault{at: 40 * sec, kind: machinesReclaimed, count: 2, duration: 10 * sec}, fault{at: 80 * sec, kind: machinesReclaimed, count: 2, duration: 10 * sec}),
-		requiredEvents: map[string]int{"late halt of an attempt that is not there any more": 2}},
+		requiredEvents: map[string]int{"late stop of an attempt that is gone": 2}},
 	{name: "a late start meets an attempt that has ended, on a machine that fails its tasks",
 		detects: detection{guardAttemptRetention, "", true},
 		jobs:    40, script: []fault{{at: 10 * sec, kind: directLate, share: 0.7, maxDelay: 60 * sec, verb: protocol.VerbStart, duration: 120 * sec},
@@ -270,21 +269,21 @@
 		detects: detection{guardFencingToken, "", false},
 		script: []fault{{at: 20 * sec, kind: directLate, share: 0.6, duration: 110 * sec}, {at: 30 * sec, kind: heartbeatCopiesForNextLeader, share: 0.6, duration: 80 * sec},
 			{at: 60 * sec, kind: controllerEnds, target: targetLeader, duration: 15 * sec}, {at: 95 * sec, kind: controllerEnds, target: targetLeader, duration: 300 * time.Millisecond}},
-		requiredEvents: map[string]int{"kept report as another begins to lead": 10, "late command carried out": 5},
-		eventPairs:     []eventPair{{"another leads", "late command carried out", 20 * sec}}},
+		requiredEvents: map[string]int{"kept heartbeat as the leader changes": 10, "late command carried out": 5},
+		eventPairs:     []eventPair{{"leader changed", "late command carried out", 20 * sec}}},
 	{name: "late commands reach mute machines while teams are at their limit and jobs are cancelled",
 		detects: detection{guardUnansweredStart, "", false},
 		setUp:   tightQuotas, jobs: 24, script: append(cancelFaults(2, 0, 45*sec, 55*sec, 65*sec, 75*sec),
 			fault{at: 10 * sec, kind: directLate, share: 0.8, duration: 120 * sec}, fault{at: 40 * sec, kind: machinesCannotSend, count: 6, duration: 16 * sec},
 			fault{at: 60 * sec, kind: machinesCannotSend, count: 6, duration: 16 * sec}, fault{at: 70 * sec, kind: controllerEnds, target: targetLeader, duration: 15 * sec}),
-		requiredEvents: map[string]int{"late command to a mute machine carried out": 1, "red is at its limit": 1, "blue is at its limit": 1}},
+		requiredEvents: map[string]int{"late command to a machine that can't send carried out": 1, "red is at its limit": 1, "blue is at its limit": 1}},
 	{name: "a machine is returned by a late call and is still up as a late command arrives",
 		detects: detection{guardUnansweredStart, "", false},
 		jobs:    40, adjustJob: func(k int, j *protocol.Job, u *user) { j.EstimatedSeconds = min(j.EstimatedSeconds, 6) },
 		script: append(cancelFaults(4, 0, 30*sec, 45*sec, 60*sec, 75*sec),
 			fault{at: 10 * sec, kind: directLate, share: 0.8, maxDelay: 60 * sec, duration: 120 * sec}, fault{at: 10 * sec, kind: cloudCallsLate, share: 0.9, duration: 130 * sec},
 			fault{at: 40 * sec, kind: machinesCannotSend, count: 4, duration: 30 * sec}, fault{at: 85 * sec, kind: machinesFailTasks, count: 3, duration: 30 * sec}),
-		requiredEvents: map[string]int{"call to the cloud carried out late": 2, "late command to a machine that was returned": 1}},
+		requiredEvents: map[string]int{"call to the cloud carried out late": 2, "late command to a machine whose release is in flight": 1}},
 	{name: "two zones can't reach each other for longer than lease_s, and jobs are cancelled in both",
 		detects: detection{guardProxyStops, "ran_cancelled", true},
 		jobs:    16, adjustJob: inBothZones(100),
@@ -327,10 +326,10 @@
 		jobs:    16, adjustJob: inBothZones(60),
 		script: []fault{{at: 40 * sec, kind: zonesSeparated, duration: 14 * sec}, {at: 60 * sec, kind: zonesSeparated, duration: 18 * sec}, {at: 85 * sec, kind: zonesSeparated, duration: 35 * sec},
 			{at: 20 * sec, kind: heartbeatCopiesLate, share: 0.4, duration: 120 * sec}, {at: 70 * sec, kind: controllerEnds, target: targetBusiest, duration: 400 * time.Millisecond}},
-		requiredEvents: map[string]int{"a heartbeat proxy answers": 5, "copy of a report": 50}},
+		requiredEvents: map[string]int{"a heartbeat proxy answers": 5, "heartbeat copy": 50}},
 }
 
-// inBothZones has half of the jobs run in each zone, for long.
+// inBothZones makes half of the jobs run in each zone, for a long time.
 func inBothZones(guessS float64) func(k int, j *protocol.Job, u *user) {
 	return func(k int, j *protocol.Job, u *user) {
 		longJobs(guessS)(k, j, u)
@@ -338,18 +337,19 @@
 	}
 }
 
-// leaseExpiryViolation says whether a worker has dropped tasks because its lease expired.
+// leaseExpiryViolation returns a message if a worker dropped tasks because its lease expired,
+// and otherwise an empty string.
 func leaseExpiryViolation(w *world) string {
 	if n := len(w.events["a worker's lease ends with a task on it"]); n > 0 {
-		return fmt.Sprintf("%d tasks dropped by the end of a lease", n)
+		return fmt.Sprintf("%d tasks dropped by an expired lease", n)
 	}
 	return ""
 }
 
-// largeJobTasks is how many tasks the largest jobs have beside those of one task.
+// largeJobTasks is the number of tasks of the large jobs in a scenario of one-task jobs.
 const largeJobTasks = 9
 
-// missingEvents says which faults did not meet.
+// missingEvents lists the required events and event pairs that did not occur.
 func (m *scenario) missingEvents(w *world) (missing []string) {
 	for what, times := range m.requiredEvents {
 		if n := len(w.events[what]); n < times {
@@ -366,7 +366,7 @@
 	return missing
 }
 
-// play plays the scenario.
+// play simulates the scenario with a seed.
 func (m *scenario) play(t *testing.T, seed uint64, tweak func(*Node), out disabledGuards) *world {
 	var w *world
 	synctest.Test(t, func(t *testing.T) {
@@ -385,8 +385,8 @@
 	return w
 }
 
-// check holds a run against the rules, the bound on cancellations and what
-// users may be told.
+// check fails the test for violated invariants, cancellations beyond their bound, and
+// inconsistent answers to users.
 func (w *world) check(t *testing.T) {
 	t.Helper()
 	for _, b := range w.violations {
@@ -401,18 +401,19 @@
 	w.checkLinearizable(t)
 }
 
-// cancelBoundViolation says whether a task was there for longer after its job was
-// cancelled than settings are checked by.
+// cancelBoundViolation returns a message if a task stayed after its job's cancellation for
+// longer than the bound against which settings are validated, and otherwise an empty
+// string.
 func (w *world) cancelBoundViolation() string {
 	if bound := config.SumTerms(w.settings.CancelBound(w.settings.Defaults())); w.longestAfterCancel > bound {
-		return fmt.Sprintf("a task was there %v after its job was cancelled, over the bound of %v", w.longestAfterCancel, bound)
+		return fmt.Sprintf("a task stayed for %v after its job was cancelled, over the bound of %v", w.longestAfterCancel, bound)
 	}
 	return ""
 }
 
-// Each of the scenarios takes place and no rule is violated. In a world of
-// goroutines two runs of one seed differ a little: where the faults miss each
-// other, the next seeds are played until they meet.
+// Each scenario takes place, and no invariant is violated. Goroutine scheduling makes two
+// runs of one seed differ slightly: if the faults don't coincide, the next seeds are played
+// until they do.
 func TestScenarios(t *testing.T) {
 	seeds := uint64(1)
 	if *all {
@@ -439,7 +440,7 @@
 				}
 			}
 			if !allSeen {
-				t.Errorf("the troubles did not meet: %v", missing)
+				t.Errorf("required events missing: %v", missing)
 			}
 		})
 	}
--- a/internal/coordination/sim_cloud_test.go
+++ b/internal/coordination/sim_cloud_test.go
@@ -17,7 +17,7 @@
 	c.w.mu.Lock()
 	defer c.w.mu.Unlock()
 	if c.w.cloudUnavailable || c.w.random.IntN(50) == 0 {
-		return errors.New("trouble")
+		return errors.New("cloud: simulated failure")
 	}
 	return nil
 }
@@ -41,7 +41,7 @@
 	return c.createMachines(r)
 }
 
-// createMachines carries out a scale-out.
+// createMachines executes a scale-out request, once per request id.
 func (c simCloud) createMachines(r protocol.MachineRequest) ([]string, error) {
 	w := c.w
 	w.mu.Lock()
@@ -67,7 +67,7 @@
 		if w.quickBoots {
 			boot = time.Duration(w.random.IntN(2000)) * time.Millisecond
 		}
-		if w.random.IntN(12) > 0 { // a few never come up
+		if w.random.IntN(12) > 0 { // some machines never come up
 			m.bootedAt = time.Now().Add(boot)
 			w.wg.Add(1)
 			go func() { defer w.wg.Done(); m.run(boot) }()
@@ -79,11 +79,11 @@
 	}
 	w.machinesByRequest[r.RequestID] = names
 	lost := w.random.IntN(10) == 0
-	f := w.afterFirstRequest
+	hook := w.afterFirstRequest
 	w.afterFirstRequest = nil
 	w.mu.Unlock()
-	if f != nil {
-		f()
+	if hook != nil {
+		hook()
 		lost = true
 	}
 	if lost {
@@ -112,7 +112,7 @@
 	return nil
 }
 
-// removeMachines removes machines with all that is on them.
+// removeMachines removes machines and the tasks on them.
 func (c simCloud) removeMachines(names []string) {
 	c.w.mu.Lock()
 	defer c.w.mu.Unlock()
@@ -124,10 +124,10 @@
 	}
 }
 
-// maxCloudDelay is how late a call to the cloud is carried out, at most.
+// maxCloudDelay is the maximum delay of a late call to the cloud.
 const maxCloudDelay = 40 * time.Second
 
-// cloudDelay is how late a call to the cloud is carried out; 0: at once.
+// cloudDelay returns the delay with which a call to the cloud is executed; 0: none.
 func (w *world) cloudDelay() time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -144,25 +144,25 @@
 	}
 	c.w.mu.Lock()
 	defer c.w.mu.Unlock()
-	var l protocol.MachineList
+	var list protocol.MachineList
 	for id, m := range c.w.workers {
 		if id <= since || time.Since(m.createdAt) < 2*time.Second {
 			continue
 		}
-		st := "starting"
+		status := "starting"
 		if m.dead {
-			st = "failed"
+			status = "failed"
 		} else if !m.bootedAt.IsZero() && time.Now().After(m.bootedAt) {
-			st = "running"
+			status = "running"
 		}
-		l.Machines = append(l.Machines, protocol.ListedMachine{ID: id, MachineType: m.request.MachineType, Zone: m.request.Zone, Spot: m.request.Spot,
-			Status: st, AgeSeconds: time.Since(m.createdAt).Seconds()})
+		list.Machines = append(list.Machines, protocol.ListedMachine{ID: id, MachineType: m.request.MachineType, Zone: m.request.Zone, Spot: m.request.Spot,
+			Status: status, AgeSeconds: time.Since(m.createdAt).Seconds()})
 	}
-	slices.SortFunc(l.Machines, func(a, b protocol.ListedMachine) int {
+	slices.SortFunc(list.Machines, func(a, b protocol.ListedMachine) int {
 		if a.ID < b.ID {
 			return -1
 		}
 		return 1
 	})
-	return l, nil
+	return list, nil
 }
--- a/internal/coordination/sim_delegation_order_test.go
+++ b/internal/coordination/sim_delegation_order_test.go
@@ -16,7 +16,7 @@
 	"reedtrack/internal/storage"
 )
 
-// writeKind is what a transaction of a controller writes.
+// writeKind classifies a controller's transaction by what it writes.
 type writeKind string
 
 const (
@@ -31,7 +31,8 @@
 	staleWrite      writeKind = "stale chunk"
 )
 
-// writeKindOf returns the kind of a transaction; empty: none of those above.
+// writeKindOf returns the kind of a transaction, or an empty string if it is none of the
+// above.
 func writeKindOf(txn protocol.Txn) writeKind {
 	key, deletes := txn.Writes[0].Put+txn.Writes[0].Delete, txn.Writes[0].Delete != ""
 	_, isDelegation := storage.ParseDelegationKey(key)
@@ -67,31 +68,32 @@
 	return ""
 }
 
-// delayCaseRun plays a case: it decides the fates of writes and follows the machines.
+// delayCaseRun is a run of a case: it decides the outcomes of writes and observes the
+// machines.
 type delayCaseRun struct {
 	*delayCase
 	w                *world
-	mu               sync.Mutex // guards all below; locked before the world's and the nodes'
+	mu               sync.Mutex // guards all below; acquired before the locks of the world and the nodes
 	machines         []*cutMachine
 	attempts         map[string]int
-	sent             map[string]bool   // what each controller has sent since the cut
-	forced           map[writeKind]int // the greatest attempt of each kind that was unanswered
-	lateCommits      []time.Duration   // when writes were carried out late, since the cut
-	redirectsByMuted int               // heartbeats that the muted controller redirected while another might answer
-	precedingWrites  map[string]int    // how many other writes of each controller were unanswered
+	sent             map[string]bool   // kinds of writes that each controller has sent since the partition
+	forced           map[writeKind]int // the highest unanswered attempt of each kind
+	lateCommits      []time.Duration   // when late writes were committed, since the partition
+	redirectsByMuted int               // heartbeats redirected by the muted controller while another could answer
+	precedingWrites  map[string]int    // unanswered other writes of each controller
 	log              []string
-	leftoverRecords  []string // delegations and acknowledgements that stand though nobody wants them
+	leftoverRecords  []string // delegations and acknowledgements that were not removed
 }
 
-// sinceCut returns the time since the last cut began.
+// sinceCut returns the time since the last partition began.
 func (o *delayCaseRun) sinceCut() time.Duration { return time.Since(o.w.startedAt) - o.lastCut().at }
 
-// logf notes what happens now.
+// logf appends a line with the current time to the log.
 func (o *delayCaseRun) logf(format string, a ...any) {
 	o.log = append(o.log, fmt.Sprintf("%.2f ", o.sinceCut().Seconds())+fmt.Sprintf(format, a...))
 }
 
-// decide returns the fate of a transaction of a controller.
+// decide returns the outcome of a controller's transaction.
 func (o *delayCaseRun) decide(sender string, txn protocol.Txn) forcedOutcome {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -99,38 +101,39 @@
 	if kind == "" {
 		return forcedOutcome{}
 	}
-	first := fmt.Sprintf("%s %s %s", sender, kind, txn.Writes[0].Put+txn.Writes[0].Delete)
-	o.attempts[first]++
-	attempt := o.attempts[first]
+	write := fmt.Sprintf("%s %s %s", sender, kind, txn.Writes[0].Put+txn.Writes[0].Delete)
+	o.attempts[write]++
+	attempt := o.attempts[write]
 	o.recordSent(sender, kind, txn)
 	isOther := slices.Contains(o.others, kind) && !o.sent[sender+string(kind)]
 	if isOther && o.isHeld(sender, kind) || kind == delegationWrite && o.mute == sender {
 		return forcedOutcome{refused: true}
 	}
-	fate := forcedOutcome{}
+	outcome := forcedOutcome{}
 	if attempt <= o.unanswered[kind] || isOther && o.isDue(sender) {
-		fate.late = lateBy
+		outcome.late = lateBy
 		o.forced[kind] = max(o.forced[kind], attempt)
 		if isOther {
 			o.sent[sender+string(kind)] = true
 			o.precedingWrites[sender]++
 		}
 	}
-	if fate.late > 0 || kind == delegationWrite || kind == ackWrite || kind == removalWrite {
-		o.logf("%s attempt %d, unanswered %v", first, attempt, fate.late > 0)
-		fate.done = func(status int) {
+	if outcome.late > 0 || kind == delegationWrite || kind == ackWrite || kind == removalWrite {
+		o.logf("%s attempt %d, unanswered %v", write, attempt, outcome.late > 0)
+		outcome.done = func(status int) {
 			o.mu.Lock()
 			defer o.mu.Unlock()
-			if fate.late > 0 {
+			if outcome.late > 0 {
 				o.lateCommits = append(o.lateCommits, o.sinceCut())
 			}
-			o.logf("%s attempt %d carried out: %d", first, attempt, status)
+			o.logf("%s attempt %d committed: status %d", write, attempt, status)
 		}
 	}
-	return fate
+	return outcome
 }
 
-// isHeld reports whether another write is held until it can be in the way.
+// isHeld reports whether another kind of write is refused until it can precede a
+// delegation or an acknowledgement.
 func (o *delayCaseRun) isHeld(sender string, kind writeKind) bool {
 	since := o.sinceCut()
 	if since < 0 {
@@ -139,8 +142,8 @@
 	return o.concerns(sender) && since < dueAfter
 }
 
-// isDue reports whether another write may now be in the way of a delegation or of an
-// acknowledgement, from the second before these are due.
+// isDue reports whether another kind of write may now precede a delegation or an
+// acknowledgement, starting shortly before these are due.
 func (o *delayCaseRun) isDue(sender string) bool {
 	return o.concerns(sender) && o.sinceCut() >= dueAfter && o.sinceCut() < maxProxyDelay
 }
@@ -158,7 +161,7 @@
 	return slices.ContainsFunc(o.w.nodes, func(n *simNode) bool { return n.name == sender && n.zone == m.worker.request.Zone })
 }
 
-// recordSent records the steps that a write is for its machines.
+// recordSent records the steps that a write represents for its machines.
 func (o *delayCaseRun) recordSent(sender string, kind writeKind, txn protocol.Txn) {
 	step := map[writeKind]string{delegationWrite: delegationSent, ackWrite: ackSent}[kind]
 	if step == "" || o.sinceCut() < 0 {
@@ -173,14 +176,14 @@
 	}
 }
 
-// recordStep records the first time that a machine has come to a step.
+// recordStep records the first time that a machine reaches a step.
 func (o *delayCaseRun) recordStep(m *cutMachine, step string) {
 	if _, found := m.steps[step]; !found {
 		m.steps[step] = o.sinceCut()
 	}
 }
 
-// run attaches the hook to all links and follows the cut.
+// run installs the decision hook on all store links and observes the partition.
 func (o *delayCaseRun) run() {
 	for _, n := range o.w.nodes {
 		n.storeLink.mu.Lock()
@@ -200,7 +203,7 @@
 	o.countDetours()
 }
 
-// findMachines finds the machines with a task whose holder is in the other zone.
+// findMachines finds the machines that run a task and whose holder is in the other zone.
 func (o *delayCaseRun) findMachines() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -221,14 +224,14 @@
 			}
 		}
 	}
-	// The busiest holder is in zone a: it comes first in the role that is held up.
+	// The busiest holder is in zone a: it is put first in the role whose writes are delayed.
 	slices.SortStableFunc(o.machines, func(a, b *cutMachine) int { return cmp.Compare(a.worker.request.Zone, b.worker.request.Zone) })
 	if o.beforeAck {
 		slices.Reverse(o.machines)
 	}
 }
 
-// observe records the steps that show at a machine's holder, its proxies and its worker.
+// observe records the steps visible at a machine's holder, its proxies and its worker.
 func (o *delayCaseRun) observe(m *cutMachine) {
 	holder, id := m.holder.node, m.worker.id
 	holder.mu.Lock()
@@ -251,8 +254,8 @@
 	}
 }
 
-// countDetours counts what workers met once a proxy might answer them: redirects of the
-// muted controller, and those after which they went to the cut-off holder.
+// countDetours counts, once a proxy could answer a worker, the redirects by the muted
+// controller, and those that led to the unreachable holder.
 func (o *delayCaseRun) countDetours() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -275,7 +278,7 @@
 	}
 }
 
-// describeHeartbeats lists a machine's heartbeats from the cut to its first answer.
+// describeHeartbeats lists a machine's heartbeats from the partition to its first answer.
 func (o *delayCaseRun) describeHeartbeats(m *cutMachine) string {
 	var text strings.Builder
 	for _, h := range m.worker.trace.heartbeats {
--- a/internal/coordination/sim_direct_test.go
+++ b/internal/coordination/sim_direct_test.go
@@ -7,22 +7,21 @@
 	"reedtrack/internal/protocol"
 )
 
-// delayedCommands says which direct commands are delayed: nobody receives an
-// answer, and they are carried out once, late, if token and session still
-// match.
+// delayedCommands selects the direct commands that are delayed: the sender receives no
+// answer, and they are executed once, late, if token and session still match.
 type delayedCommands struct {
 	share    float64
-	maxDelay time.Duration // they are delayed from minCommandDelay to that long
-	verb     string        // only messages that carry such a command; empty: all
-	from     []int         // only messages of these controllers; nil: of all
+	maxDelay time.Duration // upper bound of the delay; the lower is minCommandDelay
+	verb     string        // only messages with a command of this verb; empty: all
+	from     []int         // only messages from these controllers; nil: all
 }
 
 const (
 	minCommandDelay = 2 * time.Second
-	maxCommandDelay = 16 * time.Second // unless a fault says otherwise
+	maxCommandDelay = 16 * time.Second // unless a fault sets maxDelay
 )
 
-// delays tells whether a message is delayed.
+// delays reports whether a message is delayed.
 func (h *delayedCommands) delays(from int, d *protocol.DirectCommands, chance float64) bool {
 	if chance >= h.share || h.from != nil && !slices.Contains(h.from, from) {
 		return false
@@ -30,7 +29,7 @@
 	return h.verb == "" || slices.ContainsFunc(d.Commands, func(o protocol.Command) bool { return o.Verb == h.verb })
 }
 
-// simCommand is a direct message on its way to a worker.
+// simCommand is a direct message in flight to a worker.
 type simCommand struct {
 	w       *world
 	from    int
@@ -38,11 +37,11 @@
 	address string
 	protocol.DirectCommands
 	sentAt  time.Time
-	delayed bool // until after its sender has given it up
+	delayed bool // delivered after its sender has timed out
 }
 
-// What happens to direct messages when nothing else is wrong: of a hundred some
-// never leave, some arrive up to a minute late, and of some the answer is lost.
+// Baseline losses of direct messages without an injected fault: a few percent are never
+// sent, some arrive up to a minute late, and the answers of some are lost.
 const (
 	unsentPercent = 4
 	latePercent   = 10
@@ -55,8 +54,8 @@
 	c := &simCommand{w: w, from: from, sender: sender, address: address, DirectCommands: d, sentAt: time.Now()}
 	w.mu.Lock()
 	w.checkCommand(c)
-	cut, fate := w.workers[address] != nil && !w.reaches(w.workers[address].request.Zone, w.nodes[from]), w.random.IntN(100)
-	still, slow := time.Until(w.nodes[from].pausedUntil), time.Duration(0)
+	cut, roll := w.workers[address] != nil && !w.reaches(w.workers[address].request.Zone, w.nodes[from]), w.random.IntN(100)
+	pause, slow := time.Until(w.nodes[from].pausedUntil), time.Duration(0)
 	if w.directDelay > 0 {
 		slow = time.Duration(w.random.Int64N(int64(w.directDelay)))
 	}
@@ -67,17 +66,17 @@
 	}
 	w.mu.Unlock()
 	// The process may be paused between reading the clock and sending.
-	time.Sleep(delay + max(still, 0))
-	if fate < unsentPercent {
+	time.Sleep(delay + max(pause, 0))
+	if roll < unsentPercent {
 		return DirectAnswer{Outcome: Unsent}
 	}
 	answer := make(chan DirectAnswer, 1)
 	w.spawn(func() {
 		time.Sleep(slow)
-		if fate < unsentPercent+latePercent || cut || c.delayed {
+		if roll < unsentPercent+latePercent || cut || c.delayed {
 			time.Sleep(late)
 		}
-		if a, ok := c.deliver(slow); ok && fate < 100-lostPercent && !c.delayed {
+		if a, ok := c.deliver(slow); ok && roll < 100-lostPercent && !c.delayed {
 			answer <- a
 		}
 	})
@@ -93,26 +92,26 @@
 	}
 }
 
-// checkCommand checks what a controller sends directly to a worker; the world's
-// lock is held.
+// checkCommand checks a direct message of a controller to a worker; the caller holds the
+// world's lock.
 func (w *world) checkCommand(c *simCommand) {
 	for _, o := range c.Commands {
 		if o.Verb == protocol.VerbClear {
-			w.violationf("a clear goes straight to %s, and may arrive late", c.address)
+			w.violationf("a clear is sent directly to %s, and may arrive late", c.address)
 		}
 	}
 	w.checkTokenOwner(c.address, c.FencingToken, c.sender)
 }
 
-// machineTokenKey is a fencing token that a machine is given.
+// machineTokenKey is a machine and a fencing token that it received.
 type machineTokenKey struct {
 	machine string
 	token   uint64
 }
 
-// checkTokenOwner checks that nobody else has commanded a machine with the same
-// token: a late command of one holder could not be told from the next one's.
-// The world's lock is held.
+// checkTokenOwner checks that no other process has commanded a machine with the same
+// token: late commands of one holder would be indistinguishable from those of the next.
+// The caller holds the world's lock.
 func (w *world) checkTokenOwner(machine string, token uint64, holder *Node) {
 	at := machineTokenKey{machine, token}
 	if first, ok := w.tokenOwners[at]; ok && first != holder {
@@ -121,15 +120,15 @@
 	w.tokenOwners[at] = holder
 }
 
-// deliver has the worker carry the message out, if it may; false if there is
-// none that answers.
+// deliver makes the worker execute the message if its token and session allow it. It returns
+// false if no worker answers.
 func (c *simCommand) deliver(slow time.Duration) (DirectAnswer, bool) {
 	w := c.w
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	m := w.workers[c.address]
 	for m != nil && time.Now().Before(m.hungUntil) && w.ctx.Err() == nil {
-		// It stays in the socket until the machine resumes.
+		// The message stays in the socket until the machine resumes.
 		w.mu.Unlock()
 		time.Sleep(100 * time.Millisecond)
 		w.mu.Lock()
@@ -147,7 +146,7 @@
 		a.Outcome = Done
 		m.token = c.FencingToken
 		if m.cannotSend {
-			w.recordEventLocked("direct command to a mute machine")
+			w.recordEventLocked("direct command to a machine that can't send")
 		}
 		if slow > 3*time.Second && len(m.tasks) > 0 {
 			w.recordEventLocked("direct command held for seconds")
@@ -158,7 +157,7 @@
 	return a, true
 }
 
-// recordLateCommand records what a late command meets, to prove that a scenario
+// recordLateCommand records the circumstances of a late command, to prove that a scenario
 // took place.
 func (c *simCommand) recordLateCommand(m *simWorker, accepted bool) {
 	w := c.w
@@ -180,10 +179,10 @@
 		w.recordEventLocked("late command of a process that has ended " + outcome)
 	}
 	if m.cannotSend {
-		w.recordEventLocked("late command to a mute machine " + outcome)
+		w.recordEventLocked("late command to a machine that can't send " + outcome)
 	}
 	if w.releasePending[m.id] {
-		w.recordEventLocked("late command to a machine that was returned")
+		w.recordEventLocked("late command to a machine whose release is in flight")
 	}
 	for _, o := range c.Commands {
 		id, _, _ := protocol.ParseTaskName(o.Task)
@@ -200,9 +199,9 @@
 		case o.Verb == protocol.VerbStart && t != nil && t.attempt == o.Attempt && t.status == protocol.Exited:
 			w.recordEventLocked("late start of an attempt that has ended there")
 		case o.Verb == protocol.VerbStop && (t == nil || t.attempt != o.Attempt):
-			w.recordEventLocked("late halt of an attempt that is not there any more")
+			w.recordEventLocked("late stop of an attempt that is gone")
 		case o.Verb == protocol.VerbStop && t != nil && t.attempt == o.Attempt && accepted:
-			w.recordEventLocked("late halt of an attempt that is there")
+			w.recordEventLocked("late stop of a present attempt")
 		}
 	}
 	if len(c.Commands) > 1 {
--- a/internal/coordination/sim_faults_test.go
+++ b/internal/coordination/sim_faults_test.go
@@ -9,18 +9,18 @@
 	"reedtrack/internal/protocol"
 )
 
-// fault is one thing that goes wrong: what, to whom, when and for how long. All
-// that ever goes wrong in the world is one of these, at random or by a script.
+// fault is an injected fault: its kind, target, start and duration. Faults are injected at
+// random or by a script.
 type fault struct {
-	at           time.Duration // since the faults began
+	at           time.Duration // since the start of the fault period
 	kind         faultKind
 	target       faultTarget
 	duration     time.Duration
-	count        int           // machines, jobs, or how often a process ends
-	share        float64       // of transactions, reports, jobs that end
+	count        int           // of machines or jobs, or how often a process ends
+	share        float64       // of transactions, heartbeats or ending jobs
 	zone         string        // empty: any
 	hangDuration time.Duration // how long machines hang
-	maxDelay     time.Duration // how long direct commands are delayed, at most
+	maxDelay     time.Duration // of direct commands
 	verb         string        // which direct commands; empty: all
 }
 
@@ -61,12 +61,12 @@
 	cloudCallsLate               faultKind = "calls to the cloud are carried out late"
 )
 
-// allFaultKinds lists the kinds that pairs are made of.
+// allFaultKinds lists the kinds that faultPairs combines.
 var allFaultKinds = []faultKind{controllerEnds, controllerPauses, storeRefusesOne, controllerIsolated, peersSeparated, workersSeparated, storeOutage, storeSlow, txnsLate, txnAnswersLost,
 	heartbeatCopiesLate, heartbeatCopiesForNextLeader, machinesCannotReceive, machinesCannotSend, machinesHang, machinesDie, machinesFailTasks, machinesReclaimed, directSlow, zoneIsolated, zoneIsolatedWithController, zonesSeparated, cloudOutage,
 	cancelRunningJobs, cancelEndingJobs, invalidRequests, concurrentReads, leaderChanges, heartbeatsSlow, directLate, cloudCallsLate}
 
-// faultTarget says whom a fault strikes, as it stands at that moment.
+// faultTarget selects the controllers that a fault affects, at the moment it begins.
 type faultTarget string
 
 const (
@@ -74,11 +74,10 @@
 	targetBusiest    faultTarget = "busiest holder"
 	targetNonLeaders faultTarget = "all but the leader"
 	targetAll        faultTarget = "all"
-	targetAny        faultTarget = "any" // also the zero value
+	targetAny        faultTarget = "any" // same as the zero value
 )
 
-// faultSettings is what the active faults set in the world; guarded by its
-// lock.
+// faultSettings are the effects of the active faults; guarded by the world's lock.
 type faultSettings struct {
 	txnFailureRate      float64 // of transactions
 	lateTxnRate         float64
@@ -86,29 +85,29 @@
 	storeDelay          time.Duration
 	directDelay         time.Duration
 	heartbeatDelay      time.Duration
-	heartbeatCopyRate   float64               // copies that arrive later
-	copiesForNextLeader bool                  // not before the next leader has acted
-	keptHeartbeats      []*protocol.Heartbeat // until then
-	cancelAtEndRate     float64               // of jobs that are cancelled as they end
+	heartbeatCopyRate   float64               // share of heartbeats with a late copy
+	copiesForNextLeader bool                  // copies are kept until the next leader has acted
+	keptHeartbeats      []*protocol.Heartbeat // copies kept for the next leader
+	cancelAtEndRate     float64               // share of jobs that are cancelled as they end
 	invalidRequests     bool
 	concurrentReads     bool
-	quickBoots          bool // machines are up within two seconds
+	quickBoots          bool // machines boot within two seconds
 	delayedCommands     delayedCommands
-	lateCloudRate       float64 // of calls to the cloud
+	lateCloudRate       float64 // share of calls to the cloud
 }
 
-// disabledGuards are guards that a test disables from outside: the world then
-// treats messages as they would be taken were the guard not there.
+// disabledGuards are guards that a test disables from outside the node: the world changes
+// messages so that they are accepted as if the guard did not exist.
 type disabledGuards struct {
-	order      bool // heartbeats are not told apart by age: a copy seems to be the newest
-	term       bool // nor by token: a copy seems to know the newest
-	conditions bool // transactions have none
-	reads      bool // users are told what a controller read seconds ago
-	proxyStops bool // proxies stop nothing
+	order      bool // no ordering of heartbeats: a late copy appears to be the newest
+	term       bool // no check of tokens: a late copy appears to know the newest
+	conditions bool // transactions have no preconditions
+	reads      bool // users get answers from reads that are seconds old
+	proxyStops bool // proxies stop no tasks
 	binding    bool // a direct command without an answer counts as never sent
 }
 
-// leader is the number of the leading controller, or -1.
+// leader returns the index of the leader, or -1.
 func (w *world) leader() int {
 	for i := range w.nodes {
 		if n := w.node(i); n != nil {
@@ -123,7 +122,7 @@
 	return -1
 }
 
-// targets lists the controllers that a fault is to strike.
+// targets returns the indexes of the controllers that a target selects.
 func (w *world) targets(who faultTarget) []int {
 	all, lead := []int{}, w.leader()
 	for i := range w.nodes {
@@ -144,7 +143,8 @@
 	return []int{w.intn(len(w.nodes))}
 }
 
-// placedTasks is how many tasks a controller has placed.
+// placedTasks returns the number of tasks that a controller has placed, or -1 if it is
+// down.
 func (w *world) placedTasks(i int) int {
 	n := w.node(i)
 	if n == nil {
@@ -161,7 +161,7 @@
 	return sum
 }
 
-// selectMachines selects machines that are up, those with most tasks first.
+// selectMachines selects running machines in random order, those with tasks first.
 func (w *world) selectMachines(count int, zone string) []*simWorker {
 	var up []*simWorker
 	for _, id := range slices.Sorted(maps.Keys(w.workers)) {
@@ -174,7 +174,7 @@
 	return up[:min(len(up), max(1, count))]
 }
 
-// runScript plays a script.
+// runScript schedules the faults of a script.
 func (w *world) runScript(script []fault) {
 	for _, f := range script {
 		w.spawn(func() {
@@ -184,7 +184,7 @@
 	}
 }
 
-// injectFault begins a fault and ends it when its time is over.
+// injectFault begins a fault and ends it after its duration.
 func (w *world) injectFault(f fault) {
 	end := w.beginFault(f)
 	w.recordEvent(string(f.kind))
@@ -198,17 +198,17 @@
 	})
 }
 
-// beginFault makes one thing go wrong and returns what ends it; nil: nothing
-// has to.
+// beginFault injects a fault and returns the function that ends it, or nil if the fault
+// ends by itself.
 func (w *world) beginFault(f fault) (end func()) {
-	// set changes the world, and back.
+	// set applies a change to the world and returns its reversal.
 	set := func(on, off func()) func() {
 		w.mu.Lock()
 		defer w.mu.Unlock()
 		on()
 		return func() { w.mu.Lock(); defer w.mu.Unlock(); off() }
 	}
-	// nodes changes the controllers that are struck, and back.
+	// nodes applies a change to the targeted controllers and returns its reversal.
 	nodes := func(change func(n *simNode, on bool)) func() {
 		which := w.targets(f.target)
 		each := func(on bool) func() {
@@ -347,16 +347,16 @@
 		})
 		return nil
 	}
-	panic("no such fault: " + f.kind)
+	panic("unknown fault kind: " + f.kind)
 }
 
-// randomFault is any fault, at random.
+// randomFault returns a fault of a random kind.
 func (w *world) randomFault() fault {
 	back := time.Duration(1+w.intn(12)) * time.Second
 	switch w.intn(11) {
 	case 0, 1:
 		f := fault{kind: controllerEnds, target: []faultTarget{targetAny, targetAll}[w.intn(2)], duration: back}
-		if w.intn(2) == 0 { // back after a moment, and then mostly ends some more times
+		if w.intn(2) == 0 { // restarts quickly, and often ends several times
 			f.duration, f.count = time.Duration(5+w.intn(300))*time.Millisecond, 1+w.intn(5)
 		}
 		return f
@@ -399,8 +399,8 @@
 	}
 }
 
-// reclaimIn has the cloud reclaim a machine after a notice; the world's lock is
-// held.
+// reclaimIn makes the cloud reclaim a machine after a notice; the caller holds the world's
+// lock.
 func (m *simWorker) reclaimIn(d time.Duration) {
 	s := d.Seconds()
 	m.warningS, m.changed = &s, true
@@ -415,14 +415,13 @@
 	})
 }
 
-// endAndRestart ends processes so many times, which are started again after a
-// while.
-func (w *world) endAndRestart(back time.Duration, times int, which ...int) {
+// endAndRestart ends processes the given number of times and restarts each after a delay.
+func (w *world) endAndRestart(delay time.Duration, times int, which ...int) {
 	for _, i := range which {
 		w.spawn(func() {
 			for range times {
 				w.kill(i)
-				time.Sleep(back)
+				time.Sleep(delay)
 				w.startIfDown(i)
 				time.Sleep(time.Duration(w.intn(2000)) * time.Millisecond)
 			}
@@ -430,8 +429,8 @@
 	}
 }
 
-// cancelLongestRunning has users cancel jobs that run and have long to go; up to eight of
-// their machines hang.
+// cancelLongestRunning makes users cancel the running jobs with the longest time left. If
+// hang is positive, up to eight of their machines hang for that long.
 func (w *world) cancelLongestRunning(count int, hang time.Duration) {
 	w.mu.Lock()
 	left := map[string]time.Duration{}
--- a/internal/coordination/sim_heartbeat_proxy_test.go
+++ b/internal/coordination/sim_heartbeat_proxy_test.go
@@ -6,7 +6,7 @@
 	"reedtrack/internal/protocol"
 )
 
-// holdsMachine tells whether a controller holds the shard of a machine.
+// holdsMachine reports whether a controller holds the shard of a machine.
 func (n *Node) holdsMachine(machine string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -14,8 +14,8 @@
 	return granted && n.shards[i] != nil
 }
 
-// checkProxyAnswer checks an answer of a controller that answers in place of a
-// holder; the world's lock is held.
+// checkProxyAnswer checks an answer that a heartbeat proxy gives in place of the holder; the
+// caller holds the world's lock.
 func (w *world) checkProxyAnswer(m *simWorker, orders protocol.HeartbeatResponse) {
 	w.recordEventLocked("a heartbeat proxy answers")
 	for _, o := range orders.Commands {
--- a/internal/coordination/sim_links_test.go
+++ b/internal/coordination/sim_links_test.go
@@ -7,12 +7,12 @@
 	"reedtrack/internal/protocol"
 )
 
-// reaches tells whether workers of a zone and a controller reach each other.
+// reaches reports whether workers of a zone and a controller can reach each other.
 func (w *world) reaches(zone string, n *simNode) bool {
 	return !n.cutFromWorkers && (w.isolatedZone == "" || n.inIsolatedZone == (zone == w.isolatedZone)) && (!w.zonesSeparated || n.zone == "" || n.zone == zone)
 }
 
-// pauseLeft is how much longer a paused controller neither sends nor receives.
+// pauseLeft returns how much longer a controller is paused, neither sending nor receiving.
 func (w *world) pauseLeft(i int) time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -22,7 +22,7 @@
 	return 0
 }
 
-// storeLatency is how much longer the store takes for a request: now and then
+// storeLatency returns the added latency of a store request, which is occasionally
 // seconds.
 func (w *world) storeLatency() time.Duration {
 	w.mu.Lock()
@@ -31,25 +31,25 @@
 		return 0
 	}
 	if w.random.IntN(4) == 0 {
-		w.recordEventLocked("the state service takes seconds")
+		w.recordEventLocked("the state service delays a request by seconds")
 		return w.storeDelay + time.Duration(w.random.Int64N(int64(w.storeDelay)))
 	}
 	return w.storeDelay / 8
 }
 
-// heartbeatLatency is how much longer a heartbeat or its answer takes.
+// heartbeatLatency returns the added latency of a heartbeat or its answer.
 func (w *world) heartbeatLatency() time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.heartbeatDelay == 0 {
 		return 0
 	}
-	w.recordEventLocked("a slow link")
+	w.recordEventLocked("heartbeat delayed by a slow link")
 	return time.Duration(w.random.Int64N(int64(w.heartbeatDelay)))
 }
 
-// copyHeartbeat makes a copy of a heartbeat that arrives later; the world's
-// lock is held.
+// copyHeartbeat creates, at the configured rate, a copy of a heartbeat that arrives later;
+// the caller holds the world's lock.
 func (w *world) copyHeartbeat(r *protocol.Heartbeat, to int) {
 	if w.random.Float64() >= w.heartbeatCopyRate {
 		return
@@ -66,22 +66,22 @@
 		w.keptHeartbeats = append(w.keptHeartbeats, &c)
 		return
 	}
-	after := 2*time.Second + time.Duration(w.random.IntN(30000))*time.Millisecond
+	delay := 2*time.Second + time.Duration(w.random.IntN(30000))*time.Millisecond
 	w.spawn(func() {
-		time.Sleep(after)
+		time.Sleep(delay)
 		if n := w.node(to); n != nil && w.ctx.Err() == nil {
 			status := n.Heartbeat(&c).Status
 			w.mu.Lock()
 			defer w.mu.Unlock()
-			w.recordEventLocked("copy of a report")
-			if after.Seconds() > w.settings.Deployment.Workers.LeaseS {
-				w.recordEventLocked("copy of a report, a lease later")
+			w.recordEventLocked("heartbeat copy")
+			if delay.Seconds() > w.settings.Deployment.Workers.LeaseS {
+				w.recordEventLocked("heartbeat copy, more than a lease late")
 			}
 			if m := w.workers[c.Machine]; m != nil && m.session > c.Session {
-				w.recordEventLocked("copy of a report of an earlier session")
+				w.recordEventLocked("heartbeat copy of an earlier session")
 			}
 			if status == 200 {
-				w.recordEventLocked("copy of a report answered")
+				w.recordEventLocked("heartbeat copy answered")
 			}
 		}
 	})
--- a/internal/coordination/sim_store_link_test.go
+++ b/internal/coordination/sim_store_link_test.go
@@ -17,52 +17,52 @@
 	"reedtrack/internal/storage"
 )
 
-// simStoreLink is one controller's way to the store: it delays, loses and
-// refuses.
+// simStoreLink is one controller's connection to the store. It delays, loses and refuses
+// requests.
 type simStoreLink struct {
 	store       *emulator.KVStore
 	mu          sync.Mutex
 	random      *rand.Rand
 	refusing    bool // the store refuses this controller alone
 	failureRate float64
-	// lateRate is the share of transactions that get no answer and are carried
-	// out seconds later, after newer ones; lostRate, at once, so that only the
-	// answer is lost. pauseLeft delays every request and answer, as a paused
-	// process or a slow store does.
+	// lateRate is the share of transactions that get no answer and are committed seconds
+	// later, after newer ones; lostRate is the share that are committed at once and only
+	// lose their answer. pauseLeft delays every request and answer while the process is
+	// paused, and latency every request while the store is slow.
 	lateRate          float64
 	lostRate          float64
-	renewalsToLose    int // how many of the next renewals of leases are carried out and not answered
+	renewalsToLose    int // how many of the next lease renewals are committed but not answered
 	pauseLeft         func() time.Duration
 	latency           func() time.Duration
 	dropPreconditions bool // transactions lose their preconditions
-	staleReads        bool // what was read once is answered again for a while
+	staleReads        bool // repeated reads return a cached answer for staleFor
 	reads             map[string]cachedRead
-	recordOutcome     func(what string) // what became of the above
-	sentTxns          uint64            // transactions so far, and the newest carried out
+	recordOutcome     func(what string) // called with the outcome of a late or unanswered transaction
+	sentTxns          uint64            // number of transactions sent, and the newest committed
 	newestCommitted   uint64
-	previousVersion   bool   // plays a controller of the previous version: see hideNewKeys
+	previousVersion   bool   // simulates a controller of the previous version: see hideNewKeys
 	lastOwnKeyTxn     []byte // the last transaction that wrote a controller's key
-	// decideFate lets a test decide what becomes of each transaction as it is sent;
-	// nil: chance does.
+	// decideFate lets a test decide the outcome of each transaction as it is sent; nil: it is
+	// random.
 	decideOutcome func(protocol.Txn) forcedOutcome
 }
 
-// forcedOutcome is what a test has decided of a transaction; the zero value leaves it to
-// chance.
+// forcedOutcome is the outcome that a test has decided for a transaction; with the zero value
+// it is random.
 type forcedOutcome struct {
-	refused bool             // it is refused at once and not carried out
-	late    time.Duration    // over 0: it gets no answer and is carried out so much after it was sent
-	done    func(status int) // is told what the store said when it was carried out; may be nil
+	refused bool             // refused and not committed
+	late    time.Duration    // if positive, it gets no answer and is committed this long after it was sent
+	done    func(status int) // called with the store's status when it is committed; may be nil
 }
 
-// report tells the test what the store said.
+// report passes the store's status to the test.
 func (f forcedOutcome) report(status int) {
 	if f.done != nil {
 		f.done(status)
 	}
 }
 
-// forcedOutcome asks the test for the fate of a request.
+// forcedOutcome asks the test for the outcome of a request.
 func (w *simStoreLink) forcedOutcome(r *http.Request, body []byte) forcedOutcome {
 	w.mu.Lock()
 	decide := w.decideOutcome
@@ -74,23 +74,23 @@
 	return decide(txn)
 }
 
-// commitLate carries out a request that gets no answer.
-func (w *simStoreLink) commitLate(r *http.Request, body []byte, fate forcedOutcome) {
+// commitLate executes a request that gets no answer.
+func (w *simStoreLink) commitLate(r *http.Request, body []byte, outcome forcedOutcome) {
 	status, _ := w.store.Handle(context.Background(), r.Method, r.URL.Path, r.URL.Query(), body)
-	fate.report(status)
+	outcome.report(status)
 }
 
-// cachedRead is what the store answered to a request.
+// cachedRead is a cached answer of the store.
 type cachedRead struct {
 	at     time.Time
 	status int
 	answer any
 }
 
-// staleFor is how long an answer is repeated where reads are stale.
+// staleFor is how long a cached answer is repeated if reads are stale.
 const staleFor = 3 * time.Second
 
-// readMaybeStale reads a key, or repeats what was read a while ago.
+// readMaybeStale reads a key, or returns a cached answer if reads are stale.
 func (w *simStoreLink) readMaybeStale(r *http.Request) (int, any) {
 	w.mu.Lock()
 	old, ok := w.reads[r.URL.Path]
@@ -109,7 +109,7 @@
 	return now.status, now.answer
 }
 
-// isNewKey tells whether the previous version does not know a key.
+// isNewKey reports whether a key is unknown to the previous version.
 func isNewKey(path string) bool {
 	_, marker := storage.ParseVersionMarkerKey(path)
 	_, delegation := storage.ParseDelegationKey(path)
@@ -117,8 +117,8 @@
 	return marker || delegation || acknowledgement || path == storage.SchemaVersionKey
 }
 
-// hideNewKeys keeps the keys of an upgrade from a controller that plays the
-// previous version, which ignores them.
+// hideNewKeys removes the keys introduced by an upgrade from an answer to a simulated
+// controller of the previous version, which ignores them.
 func hideNewKeys(answer any) any {
 	switch a := answer.(type) {
 	case protocol.RangeResponse:
@@ -142,8 +142,8 @@
 	}
 	w.mu.Lock()
 	delay := time.Duration(1+w.random.IntN(20)) * time.Millisecond
-	fate, late := w.random.Float64(), time.Duration(w.random.IntN(20000))*time.Millisecond
-	bad, behind, unsaid := w.failureRate, w.lateRate, w.lostRate
+	roll, late := w.random.Float64(), time.Duration(w.random.IntN(20000))*time.Millisecond
+	failureRate, lateRate, lostRate := w.failureRate, w.lateRate, w.lostRate
 	if bytes.Contains(body, []byte(`"put":"`+storage.ControllerKey(""))) {
 		w.lastOwnKeyTxn = body
 	}
@@ -165,10 +165,10 @@
 	time.Sleep(delay)
 	w.waitWhilePaused()
 	ctx := r.Context()
-	status, answer := 503, any(protocol.ErrorResponse{Error: "trouble"})
+	status, answer := 503, any(protocol.ErrorResponse{Error: "simulated failure"})
 	switch {
 	case r.URL.Path == "/follow":
-		// An open watch waits through a refusal, and then delivers.
+		// An open watch waits until the refusal is over, and then delivers.
 		for w.isRefusing() && ctx.Err() == nil {
 			sleep(ctx, 50*time.Millisecond)
 		}
@@ -183,7 +183,7 @@
 		<-ctx.Done()
 		return nil, ctx.Err()
 	case w.previousVersion && bytes.Contains(body, []byte(storage.VersionMarkerKey(""))):
-	case r.URL.Path == "/multi" && fate < behind:
+	case r.URL.Path == "/multi" && roll < lateRate:
 		time.AfterFunc(2*time.Second+late/2, func() { w.commitUnanswered(r, body, number, "late write") })
 		<-ctx.Done()
 		return nil, ctx.Err()
@@ -191,14 +191,14 @@
 		w.commitUnanswered(r, body, number, "renewal's answer lost")
 		<-ctx.Done()
 		return nil, ctx.Err()
-	case (r.URL.Path == "/multi" || strings.HasSuffix(r.URL.Path, "/renew")) && fate < behind+unsaid:
+	case (r.URL.Path == "/multi" || strings.HasSuffix(r.URL.Path, "/renew")) && roll < lateRate+lostRate:
 		w.commitUnanswered(r, body, number, "answer lost")
 		<-ctx.Done()
 		return nil, ctx.Err()
-	case r.URL.Path == "/multi" && fate < bad:
-		// No answer; carried out now, later or never.
-		if fate < bad*2/3 {
-			if fate < bad/3 {
+	case r.URL.Path == "/multi" && roll < failureRate:
+		// No answer; committed now, later or never.
+		if roll < failureRate*2/3 {
+			if roll < failureRate/3 {
 				late = 0
 			}
 			time.AfterFunc(late, func() { w.store.Handle(context.Background(), r.Method, r.URL.Path, r.URL.Query(), body) })
@@ -227,8 +227,7 @@
 	return &http.Response{StatusCode: status, Body: io.NopCloser(bytes.NewReader(raw)), Header: http.Header{}, Request: r}, nil
 }
 
-// withoutConditions returns a transaction that is carried out whatever has
-// changed.
+// withoutConditions returns a transaction without its preconditions.
 func withoutConditions(body []byte) []byte {
 	var t map[string]json.RawMessage
 	if json.Unmarshal(body, &t) == nil {
@@ -238,7 +237,7 @@
 	return body
 }
 
-// commitUnanswered carries out a transaction that is not answered.
+// commitUnanswered commits a transaction without an answer and records its outcome.
 func (w *simStoreLink) commitUnanswered(r *http.Request, body []byte, number uint64, what string) {
 	status, _ := w.store.Handle(context.Background(), r.Method, r.URL.Path, r.URL.Query(), body)
 	w.mu.Lock()
@@ -251,13 +250,13 @@
 			what += " refused"
 		}
 		if behind {
-			what += " behind a newer one"
+			what += " after a newer one"
 		}
 		w.recordOutcome(what)
 	}
 }
 
-// losesRenewal tells whether a renewal is one of those to be lost.
+// losesRenewal reports whether the answer to this renewal is to be lost.
 func (w *simStoreLink) losesRenewal() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -274,7 +273,7 @@
 	return w.refusing
 }
 
-// waitWhilePaused delays a request or an answer for as long as the world says.
+// waitWhilePaused delays a request or an answer while the process is paused.
 func (w *simStoreLink) waitWhilePaused() {
 	if w.pauseLeft == nil {
 		return
@@ -284,7 +283,7 @@
 	}
 }
 
-// txnRecorder notes transactions and answers that they succeeded.
+// txnRecorder records transactions and reports success for each.
 type txnRecorder struct{ sent *[]protocol.Txn }
 
 func (r txnRecorder) RoundTrip(req *http.Request) (*http.Response, error) {
--- a/internal/coordination/sim_trace_test.go
+++ b/internal/coordination/sim_trace_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// heartbeatOutcome is what became of a worker's heartbeat.
+// heartbeatOutcome is the outcome of a worker's heartbeat.
 type heartbeatOutcome string
 
 const (
@@ -20,7 +20,7 @@
 	heartbeatAnswerDropped heartbeatOutcome = "answer dropped by the worker"
 )
 
-// tracedHeartbeat is a heartbeat of a worker and what it met.
+// tracedHeartbeat is a worker's heartbeat and its outcome.
 type tracedHeartbeat struct {
 	sentAt   time.Time
 	to       string
@@ -30,14 +30,14 @@
 	redirect string
 	token    uint64
 	tookS    float64
-	lost     bool // the network lost it, and the controller had answered or sent the worker on
-	renews   bool // but for that it would have renewed the lease
+	lost     bool // the network lost it or its answer, which was a success or a redirect
+	renews   bool // without the loss it would have renewed the lease
 }
 
-// maxTracedHeartbeats is how many heartbeats of a worker are kept.
+// maxTracedHeartbeats is the number of heartbeats kept per worker.
 const maxTracedHeartbeats = 60
 
-// heartbeatTrace holds the newest heartbeats of a worker.
+// heartbeatTrace holds a worker's most recent heartbeats.
 type heartbeatTrace struct{ heartbeats []tracedHeartbeat }
 
 func (t *heartbeatTrace) add(h tracedHeartbeat) {
@@ -46,15 +46,15 @@
 	}
 }
 
-// minExplainingLosses is from how many exchanges on that the simulated network loses an end
-// of a lease is explained by these alone: each costs the worker the 4 s that it waits
-// and the detour over a controller that sends it back.
+// minExplainingLosses is the number of exchanges lost by the simulated network that alone
+// explain an expired lease: each costs the worker 4 s of waiting and a detour over a
+// controller that redirects it.
 const minExplainingLosses = 3
 
-// isExplainedByLosses tells whether a worker that was not answered since a time lost that
-// many exchanges to the simulated network, with no fault injected, one of which at least
-// would have renewed its lease, and was sent on or cut off in all others. It explains an
-// end of a lease and excuses none.
+// isExplainedByLosses reports whether a worker, since a given time, lost at least
+// minExplainingLosses exchanges to the simulated network without an injected fault, one of
+// which would have renewed its lease, and was redirected or cut off in all others. It is
+// used in diagnostics only: an explained lease expiry still counts as a failure.
 func (t *heartbeatTrace) isExplainedByLosses(since time.Time) bool {
 	lost, renewing := 0, 0
 	for _, h := range t.heartbeats {
@@ -74,8 +74,8 @@
 	return lost >= minExplainingLosses && renewing > 0
 }
 
-// mayAnswerMachine tells whether a controller answers a machine's heartbeats with 200: it
-// holds the machine, or is its proxy.
+// mayAnswerMachine reports whether a controller answers a machine's heartbeats with 200, as
+// its holder or its proxy.
 func (n *Node) mayAnswerMachine(machine string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -84,7 +84,7 @@
 	return granted && (n.shards[i] != nil || proxy != nil && proxy.CanAnswer(machine))
 }
 
-// describe lists the heartbeats with their times since the faults began.
+// describe lists the heartbeats with their times since the start of the fault period.
 func (t *heartbeatTrace) describe(w *world) string {
 	var text strings.Builder
 	for _, h := range t.heartbeats {
@@ -97,8 +97,8 @@
 	return text.String()
 }
 
-// recordLeaseEnd keeps what a worker's heartbeats met before its lease ended with a task
-// on it, and how the controllers see the machine; the world's lock is held.
+// recordLeaseEnd records the outcomes of a worker's heartbeats before its lease expired with
+// a task on it, and the controllers' view of the machine; the caller holds the world's lock.
 func (w *world) recordLeaseEnd(m *simWorker, t *simTask, now time.Time) {
 	text := fmt.Sprintf("%s in zone %s drops %s at %.1f, session %d, token %d, last answered heartbeat sent at %.1f, explained by lost exchanges %v:%s",
 		m.id, m.request.Zone, t.name, now.Sub(w.startedAt).Seconds(), m.session, m.token, m.lastAcknowledged.Sub(w.startedAt).Seconds(),
@@ -112,7 +112,7 @@
 	})
 }
 
-// describeMachine tells how each controller sees a machine and its delegation.
+// describeMachine describes each controller's view of a machine and its delegation.
 func (w *world) describeMachine(id string) string {
 	var text strings.Builder
 	for i := range w.nodes {
--- a/internal/coordination/sim_users_test.go
+++ b/internal/coordination/sim_users_test.go
@@ -18,13 +18,13 @@
 	"reedtrack/internal/protocol"
 )
 
-// user submits a job, asks about it and may cancel it.
+// user submits a job, polls its status and may cancel it.
 type user struct {
 	w           *world
 	job         *protocol.Job
-	submitAfter time.Duration // before it submits
-	cancels     bool          // cancels it
-	cancelAfter time.Duration // how soon after the submission; 0: any time within a minute
+	submitAfter time.Duration // delay before the submission
+	cancels     bool          // whether it cancels the job
+	cancelAfter time.Duration // delay after the submission; 0: random within a minute
 }
 
 func (w *world) jobSpec(id string) *protocol.Job {
@@ -33,7 +33,7 @@
 	return w.specs[id]
 }
 
-// randomNode selects a controller that users reach, or nil.
+// randomNode returns a random controller, or nil if users can't reach it.
 func (w *world) randomNode() *Node {
 	i := w.intn(len(w.nodes))
 	w.mu.Lock()
@@ -45,7 +45,7 @@
 	return n.node
 }
 
-// reachableNodes lists the controllers that users reach.
+// reachableNodes lists the controllers that users can reach.
 func (w *world) reachableNodes() []*Node {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -105,8 +105,7 @@
 
 func (w *world) sendsInvalid() bool { w.mu.Lock(); defer w.mu.Unlock(); return w.invalidRequests }
 
-// cancelUntilConfirmed cancels the job at any controller until that is
-// confirmed.
+// cancelUntilConfirmed sends cancellations to random controllers until one is confirmed.
 func (u *user) cancelUntilConfirmed() {
 	for u.w.ctx.Err() == nil {
 		if n := u.w.randomNode(); n != nil && u.cancelJob(n) {
@@ -116,7 +115,7 @@
 	}
 }
 
-// knownBefore is what users had been told when a request was sent.
+// knownBefore is what users had been told about a job when a request was sent.
 type knownBefore struct {
 	finalStatus string
 	accepted    bool
@@ -134,7 +133,7 @@
 	return context.WithTimeout(u.w.ctx, 5*time.Second)
 }
 
-// submit submits the job, or repeats that, and tells whether it is accepted.
+// submit submits the job, possibly again, and reports whether it is accepted.
 func (u *user) submit(n *Node) bool {
 	ctx, cancel := u.requestContext()
 	defer cancel()
@@ -167,7 +166,7 @@
 	return true
 }
 
-// poll asks how the job stands.
+// poll queries the status of the job.
 func (u *user) poll(n *Node) {
 	ctx, cancel := u.requestContext()
 	defer cancel()
@@ -176,7 +175,7 @@
 	u.checkAnswer(opQuery, was, st, err)
 }
 
-// cancelJob cancels the job, and tells whether it has ended.
+// cancelJob cancels the job, and reports whether the controller confirmed its end.
 func (u *user) cancelJob(n *Node) bool {
 	ctx, cancel := u.requestContext()
 	defer cancel()
@@ -194,7 +193,8 @@
 	return true
 }
 
-// checkAnswer checks an answer to a question or a cancellation.
+// checkAnswer checks the answer to a status query or a cancellation, and reports whether
+// it gave the job's status.
 func (u *user) checkAnswer(what string, was knownBefore, st protocol.JobStatus, err error) bool {
 	w, id := u.w, u.job.ID
 	if w.ctx.Err() != nil {
@@ -218,8 +218,8 @@
 	return true
 }
 
-// checkStatus checks an answer against the world and what users knew when they
-// asked.
+// checkStatus checks an answer against the state of the world and what users knew when
+// they sent the request.
 func (u *user) checkStatus(was knownBefore, status string) {
 	w, id := u.w, u.job.ID
 	w.mu.Lock()
@@ -252,8 +252,8 @@
 	}
 }
 
-// recordConfirmation records during which faults a cancellation is confirmed; the lock
-// is held.
+// recordConfirmation records the faults during which a cancellation is confirmed; the caller holds
+// the world's lock.
 func (w *world) recordConfirmation(id string) {
 	w.recordEventLocked("confirmed")
 	for _, n := range w.nodes {
@@ -263,7 +263,7 @@
 	}
 	for _, n := range w.nodes {
 		if n.node == nil {
-			w.recordEventLocked("confirmed while a controller is away")
+			w.recordEventLocked("confirmed while a controller is down")
 		}
 	}
 	for _, m := range w.workers {
@@ -282,8 +282,8 @@
 	}
 }
 
-// readConcurrently asks at all controllers at once, twice within milliseconds,
-// and repeats the submission, if users do that now.
+// readConcurrently queries all controllers at once, twice within milliseconds, and repeats
+// the submission, if concurrent reads are enabled.
 func (u *user) readConcurrently() {
 	w := u.w
 	w.mu.Lock()
@@ -301,10 +301,10 @@
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
-	w.recordEvent("close look")
+	w.recordEvent("concurrent reads")
 }
 
-// recordTaskEnd follows the end of a task; the world's lock is held.
+// recordTaskEnd handles the end of a task; the caller holds the world's lock.
 func (w *world) recordTaskEnd(j *protocol.Job) {
 	if w.firstEndedAt[j.ID].IsZero() {
 		w.firstEndedAt[j.ID] = time.Now()
@@ -312,7 +312,7 @@
 	if !w.allDone(j.ID) {
 		return
 	}
-	for _, at := range w.events["another leads"] {
+	for _, at := range w.events["leader changed"] {
 		if at.After(w.firstEndedAt[j.ID]) && time.Since(w.firstEndedAt[j.ID]) > 15*time.Second {
 			w.recordEventLocked("tasks of a job end far apart across a change of leader")
 		}
@@ -327,7 +327,7 @@
 	}
 }
 
-// sendInvalid sends requests that are wrong or come twice.
+// sendInvalid sends invalid and repeated submissions.
 func (u *user) sendInvalid(n *Node) {
 	ctx, cancel := u.requestContext()
 	defer cancel()
@@ -343,14 +343,14 @@
 	}
 	was := u.snapshotKnown()
 	if status := send(func(map[string]any) {}); was.accepted && status != http.StatusOK && status != http.StatusServiceUnavailable {
-		u.violation("forgotten: the same again: %d", status)
+		u.violation("forgotten: repeated submission: %d", status)
 	}
 	drop := []string{"owner", "cores", "parts", "loaners"}[u.w.intn(4)]
 	if status := send(func(f map[string]any) { delete(f, drop) }); was.accepted && status != http.StatusOK && status != http.StatusServiceUnavailable {
-		u.violation("forgotten: again without %s: %d", drop, status)
+		u.violation("forgotten: repeated submission without %s: %d", drop, status)
 	}
 	if status := send(func(f map[string]any) { f["cores"] = 1000 }); was.accepted && status != http.StatusOK && status != http.StatusServiceUnavailable {
-		u.violation("forgotten: again, too large: %d", status)
+		u.violation("forgotten: repeated submission, too large: %d", status)
 	}
 	fresh := fmt.Sprintf("wk-8%06d", u.w.intn(1e6))
 	for what, change := range map[string]func(f map[string]any){
@@ -363,7 +363,7 @@
 			u.violation("accepted: %s that %s: %d", fresh, what, status)
 		}
 		if status/100 == 4 {
-			u.w.recordEvent("odd request refused")
+			u.w.recordEvent("invalid request refused")
 		}
 	}
 }
@@ -376,19 +376,18 @@
 	}
 }
 
-// What users ask.
+// Operations of users.
 const (
 	opSubmit = "submit"
 	opQuery  = "ask"
 	opCancel = "cancel"
 )
 
-// userAnswer is what a user was told: nothing certain, that there is no such
-// job, or its status.
+// userAnswer is the answer to a user: an unknown outcome, no such job, or a status.
 type userAnswer struct {
 	unknown   bool
 	status    string // empty: no such job
-	duplicate bool   // a submission that had been accepted before
+	duplicate bool   // a submission of a job that was accepted before
 }
 
 type userRequest struct {
@@ -396,11 +395,11 @@
 	id        string
 }
 
-// history is what users asked and were told, with the start and end of each call.
+// history records the requests of users and their answers, with the start and end of each.
 type history struct {
 	startedAt       time.Time
 	ops             []porcupine.Operation
-	unknownOutcomes map[userRequest]bool // unknown outcomes, which one stands for all later ones
+	unknownOutcomes map[userRequest]bool // requests whose first unknown outcome stands for all later ones
 }
 
 func newHistory() *history {
@@ -413,8 +412,8 @@
 	defer w.mu.Unlock()
 	h, in, end := w.history, userRequest{what, u.job.ID}, time.Since(w.history.startedAt).Nanoseconds()
 	if a.unknown {
-		// It may take effect at any later time, or never. A question has none,
-		// and of several that have one the first stands for all.
+		// The request may take effect at any later time, or never. A query has no
+		// effect, and the first of several requests that have one stands for all.
 		if what == opQuery || h.unknownOutcomes[in] {
 			return
 		}
@@ -423,8 +422,8 @@
 	h.ops = append(h.ops, porcupine.Operation{Input: in, Output: a, Call: was.at.Sub(h.startedAt).Nanoseconds(), Return: end})
 }
 
-// jobModel is a job as users may see it: unknown, accepted, then done or
-// cancelled for good. It is done by itself, and cancelled too where one of its
+// jobModel is a job as users may observe it: unknown, then live, then done or cancelled
+// for good. A live job can become done by itself, and cancelled too if one of its
 // dependencies was.
 var jobModel = porcupine.NondeterministicModel{
 	Init: func() []any { return []any{""} },
@@ -468,9 +467,8 @@
 	Equal: func(a, b any) bool { return a == b },
 }
 
-// checkLinearizable checks that what users were told is what one job, asked one
-// call after the other, would tell: no answer is older than one that was given
-// before the call.
+// checkLinearizable checks that the answers about each job are linearizable: no request is
+// answered with an older state than one that was returned before the request began.
 func (w *world) checkLinearizable(t *testing.T) {
 	t.Helper()
 	model := jobModel.ToModel()
@@ -478,9 +476,9 @@
 	for _, ops := range jobModel.Partition(w.history.ops) {
 		switch porcupine.CheckOperationsTimeout(model, ops, 20*time.Second) {
 		case porcupine.Illegal:
-			t.Errorf("went_back: what users were told of %s has no order", ops[0].Input.(userRequest).id)
+			t.Errorf("went_back: the answers about %s are not linearizable", ops[0].Input.(userRequest).id)
 		case porcupine.Unknown:
-			t.Errorf("what users were told of %s was not checked in time", ops[0].Input.(userRequest).id)
+			t.Errorf("linearizability check of the answers about %s timed out", ops[0].Input.(userRequest).id)
 		}
 	}
 }
--- a/internal/coordination/sim_waiting_test.go
+++ b/internal/coordination/sim_waiting_test.go
@@ -8,26 +8,26 @@
 	"reedtrack/internal/protocol"
 )
 
-// maxWaitBesideCapacity is how long a job may wait, once all faults are over,
-// while a machine that fits has room and its team is under its quota.
+// maxWaitBesideCapacity is how long a job may wait, once all faults are over, while a
+// suitable machine has room and its team is under its quota.
 const maxWaitBesideCapacity = 90 * time.Second
 
-// waitingCheck follows the jobs that wait beside room for them.
+// waitingCheck tracks the jobs that wait although a machine has room for them.
 type waitingCheck struct {
 	checkedAt    time.Time
-	since        map[string]time.Time // by job: since when there is room for a task that waits
-	explanations []string             // how the holders see those that were left waiting
+	since        map[string]time.Time // by job: since when a waiting task has had room
+	explanations []string             // the holders' view of the jobs that waited too long
 }
 
-// occupancy is what runs, or is about to, on all machines.
+// occupancy is the use of all machines by running and starting tasks.
 type occupancy struct {
 	used  map[string]float64      // cores by team
 	free  map[string]float64      // cores by machine
 	tasks map[string]*simWorker   // by task
-	zones map[string][]*simWorker // machines of a job's tasks
+	zones map[string][]*simWorker // by job: the machines of its tasks
 }
 
-// occupancy returns what all machines run; the world's lock is held.
+// occupancy returns the current use of all machines; the caller holds the world's lock.
 func (w *world) occupancy() occupancy {
 	o := occupancy{used: map[string]float64{}, free: map[string]float64{}, tasks: map[string]*simWorker{}, zones: map[string][]*simWorker{}}
 	for _, m := range w.workers {
@@ -48,7 +48,7 @@
 	return o
 }
 
-// waitingTasks counts the tasks of a job that neither run nor are done.
+// waitingTasks counts a job's tasks that are neither running nor done.
 func (w *world) waitingTasks(j *protocol.Job, o occupancy) int {
 	n := 0
 	for t := range j.Tasks {
@@ -59,7 +59,7 @@
 	return n
 }
 
-// machineWithRoom names a machine that has room for one more task of a job, or is nil.
+// machineWithRoom returns a machine with room for one more task of a job, or nil.
 func (w *world) machineWithRoom(j *protocol.Job, o occupancy) *simWorker {
 	for _, team := range w.settings.Deployment.Teams {
 		if team.Name == j.Team && o.used[j.Team]+j.Cores > team.CPUsMax+1e-9 {
@@ -74,14 +74,14 @@
 	return nil
 }
 
-// isAllowedOn tells whether a job's tasks may run on a machine of that type, zone and
-// kind.
+// isAllowedOn reports whether a job may run on a machine by its type, zone and spot
+// status.
 func isAllowedOn(j *protocol.Job, m *simWorker) bool {
 	return (j.Zone == "" || j.Zone == m.request.Zone) && (j.Spot || !m.request.Spot) && (len(j.MachineTypes) == 0 || slices.Contains(j.MachineTypes, m.request.MachineType))
 }
 
-// canRunInModel tells whether one more task of a job may run on a machine
-// beside the job's others, room apart.
+// canRunInModel reports whether one more task of a job may run on a machine, given the
+// machines of its other tasks and regardless of free capacity.
 func canRunInModel(j *protocol.Job, m *simWorker, others []*simWorker) bool {
 	if !isAllowedOn(j, m) {
 		return false
@@ -97,8 +97,8 @@
 	return !j.Spread || same < (j.Tasks+1)/2
 }
 
-// checkWaiting looks for jobs that wait though there is room; the world's lock
-// is held.
+// checkWaiting looks for jobs that wait although there is room; the caller holds the
+// world's lock.
 func (w *world) checkWaiting(now time.Time) {
 	w.waiting.checkedAt = now
 	o := w.occupancy()
@@ -119,12 +119,12 @@
 			w.violationf("left waiting: %s for %v, %d of %d tasks, %g cores of %s, room on %s (%v) of %g, team uses %g", id, now.Sub(since), w.waitingTasks(j, o), j.Tasks,
 				j.Cores, j.Team, room.id, room.request, o.free[room.id], o.used[j.Team])
 			w.spawn(func() { w.explain(id) })
-			w.waiting.since[id] = now.Add(time.Hour) // said once
+			w.waiting.since[id] = now.Add(time.Hour) // reported once
 		}
 	}
 }
 
-// explain keeps how the holder sees a job that is left waiting.
+// explain records the holder's view of a job that waits too long.
 func (w *world) explain(id string) {
 	why := w.explainUnfinished()[id]
 	w.mu.Lock()
@@ -132,15 +132,15 @@
 	w.waiting.explanations = append(w.waiting.explanations, id+": "+why)
 }
 
-// lateStart names a job of at least so many tasks whose first did not run
-// within a time of its acceptance, or is empty.
+// lateStart describes a job with at least the given number of tasks whose first task did
+// not start within the given time of the job's acceptance, or returns an empty string.
 func (w *world) lateStart(tasks int, within time.Duration) string {
 	for id, accepted := range w.acceptedAt {
 		if j := w.specs[id]; j.Tasks < tasks || w.cancelled(id) {
 			continue
 		}
 		if began := w.firstStartedAt[id]; began.IsZero() || began.Sub(accepted) > within {
-			return fmt.Sprintf("%s was accepted at %v and began at %v", id, accepted.Sub(w.startedAt), began.Sub(w.startedAt))
+			return fmt.Sprintf("%s was accepted at %v and started at %v", id, accepted.Sub(w.startedAt), began.Sub(w.startedAt))
 		}
 	}
 	return ""
--- a/internal/coordination/sim_watch_test.go
+++ b/internal/coordination/sim_watch_test.go
@@ -4,11 +4,10 @@
 	"time"
 )
 
-// watch records when another controller leads, and brings it, and all others,
-// the heartbeats that were kept for then, at once and again when it has acted;
-// and how few controllers are up.
+// watch polls the world for leader changes, for the number of running controllers, and,
+// once all faults are over, for waiting jobs.
 func (w *world) watch() {
-	var none time.Time // since when no controller is up
+	var none time.Time // since when all controllers are down
 	for w.ctx.Err() == nil {
 		sleep(w.ctx, 20*time.Millisecond)
 		w.mu.Lock()
@@ -24,10 +23,10 @@
 		case none.IsZero():
 			none = time.Now()
 		case time.Since(none).Seconds() > w.settings.Deployment.Workers.LeaseS:
-			w.recordEventLocked("all away for a lease")
+			w.recordEventLocked("all controllers down for a lease")
 		}
 		if up == 1 {
-			w.recordEventLocked("one is up alone")
+			w.recordEventLocked("one controller up")
 		}
 		if now := time.Now(); !w.recoveredAt.IsZero() && now.Sub(w.waiting.checkedAt) >= time.Second {
 			w.checkWaiting(now)
@@ -37,6 +36,8 @@
 	}
 }
 
+// followLeadership records leader changes. To all controllers it then delivers the
+// heartbeats kept for this moment, at once and again after the new leader has acted.
 func (w *world) followLeadership() {
 	i := w.leader()
 	if i < 0 {
@@ -47,20 +48,20 @@
 		return
 	}
 	n.mu.Lock()
-	reign := uint64(0)
+	revision := uint64(0)
 	if n.leadership != nil {
-		reign = n.leadership.revision
+		revision = n.leadership.revision
 	}
 	n.mu.Unlock()
 	w.mu.Lock()
-	if reign <= w.leaderRevision {
+	if revision <= w.leaderRevision {
 		w.mu.Unlock()
 		return
 	}
 	if w.leaderRevision != 0 {
-		w.recordEventLocked("another leads")
+		w.recordEventLocked("leader changed")
 	}
-	w.leaderRevision = reign
+	w.leaderRevision = revision
 	kept := w.keptHeartbeats
 	w.keptHeartbeats = nil
 	w.mu.Unlock()
@@ -75,8 +76,8 @@
 		}
 	}
 	w.spawn(func() {
-		deliver("kept report as another begins to lead")
+		deliver("kept heartbeat as the leader changes")
 		time.Sleep(4 * time.Second)
-		deliver("kept report after the new leader acted")
+		deliver("kept heartbeat after the new leader acted")
 	})
 }
--- a/internal/coordination/sim_worker_test.go
+++ b/internal/coordination/sim_worker_test.go
@@ -24,12 +24,12 @@
 	tasks            map[string]*simTask
 	failing          bool
 	cannotReceive    bool // answers and direct commands to it are lost
-	cannotSend       bool // it reaches no controller
+	cannotSend       bool // it can't reach any controller
 	hungUntil        time.Time
-	resumedAt        time.Time // when it last resumed after it hung
+	resumedAt        time.Time // when its last hang ended
 	changed          bool
 	controller       int
-	leaseEpoch       uint64 // changes with the session: late answers are dropped
+	leaseEpoch       uint64 // incremented with the session, to drop late answers
 	trace            heartbeatTrace
 }
 
@@ -40,11 +40,11 @@
 	status     string
 	cause      string
 	nextChange time.Time
-	active     bool      // counts as on the machine
-	orderedAt  time.Time // when the command that starts it was made
+	active     bool      // occupies the machine
+	orderedAt  time.Time // when its start command was created
 }
 
-// die ends a worker; the world's lock is held.
+// die ends a worker; the caller holds the world's lock.
 func (m *simWorker) die() {
 	m.dead = true
 	for _, t := range m.tasks {
@@ -70,7 +70,7 @@
 	}
 }
 
-// startTask starts a task's run, at which the rules are checked.
+// startTask starts a task and checks the invariants.
 func (m *simWorker) startTask(t *simTask) {
 	w, j := m.w, t.job
 	w.startCount++
@@ -80,9 +80,9 @@
 	if at, ok := w.cancelConfirmedAt[j.ID]; ok && time.Since(at).Seconds() > w.settings.Deployment.Workers.CancelS {
 		w.violationf("ran_cancelled: %s starts", t.name)
 	} else if ok {
-		w.recordEventLocked("a start after a confirmed cancellation") // its command was under way
+		w.recordEventLocked("a start after a confirmed cancellation") // its command was in flight
 		if late := t.orderedAt.Sub(at); late > w.settings.Defaults().HolderLease {
-			w.violationf("started_cancelled: %s, ordered %v after its user was told that it is cancelled", t.name, late)
+			w.violationf("started_cancelled: %s, ordered %v after its cancellation was confirmed", t.name, late)
 		}
 	}
 	for _, id := range j.DependsOn {
@@ -168,7 +168,7 @@
 	}
 }
 
-// checkLease ends the session when no heartbeat has been answered for too long.
+// checkLease ends the session if no heartbeat was answered for the length of the lease.
 func (m *simWorker) checkLease(now time.Time) {
 	if now.Sub(m.lastAcknowledged).Seconds() > m.w.settings.Deployment.Workers.LeaseS {
 		for _, t := range m.tasks {
@@ -185,7 +185,7 @@
 	}
 }
 
-// step moves tasks on and checks the lease.
+// step advances the tasks and checks the lease.
 func (m *simWorker) step(now time.Time) {
 	m.checkLease(now)
 	for _, t := range m.tasks {
@@ -211,7 +211,7 @@
 				t.nextChange = now
 			}
 			if time.Since(m.bootedAt) < 3*time.Second && m.w.quickBoots {
-				m.w.recordEventLocked("work on a machine that has just come up")
+				m.w.recordEventLocked("task started on a newly booted machine")
 			}
 		case protocol.Running:
 			m.stopTask(t)
@@ -243,11 +243,11 @@
 	w := m.w
 	time.Sleep(time.Duration(1+w.intn(30))*time.Millisecond + w.heartbeatLatency())
 	w.mu.Lock()
-	n, cut, still := w.nodes[to].node, !w.reaches(m.request.Zone, w.nodes[to]) || m.cannotSend, time.Until(w.nodes[to].pausedUntil)
+	n, cut, pause := w.nodes[to].node, !w.reaches(m.request.Zone, w.nodes[to]) || m.cannotSend, time.Until(w.nodes[to].pausedUntil)
 	held := w.heldHeartbeats > 0 && w.random.IntN(w.heldHeartbeats) == 0
 	late := time.Duration(4+w.random.IntN(40)) * time.Second
-	if still > 4*time.Second { // it waits in the socket of a paused process
-		held, late = true, still
+	if pause > 4*time.Second { // it waits in the socket of a paused process
+		held, late = true, pause
 	}
 	if !cut {
 		w.copyHeartbeat(r, to)
@@ -265,9 +265,9 @@
 		trace.outcome = heartbeatRefused
 	}
 	var answered time.Time
-	holds := false    // who answers holds the machine's shard
-	relayed := false  // the answer is the holder's, by way of another controller
-	if held && !cut { // delivered, but so late that nobody waits for the answer
+	holds := false    // the answering controller holds the machine's shard
+	relayed := false  // the answer is the holder's, relayed by another controller
+	if held && !cut { // delivered too late for the worker to wait for the answer
 		w.spawn(func() {
 			time.Sleep(late)
 			if n := w.node(to); n != nil && w.ctx.Err() == nil {
@@ -276,7 +276,7 @@
 		})
 		time.Sleep(4 * time.Second)
 	} else if n != nil && !cut {
-		time.Sleep(max(still, 0))
+		time.Sleep(max(pause, 0))
 		answer := n.Heartbeat(r)
 		status, orders, answerTo = answer.Status, answer.Response, answer.RedirectTo
 		answered, holds, relayed = time.Now(), n.holdsMachine(m.id), answer.RelayedTo != ""
@@ -290,9 +290,9 @@
 	}
 	w.mu.Lock()
 	defer func() { m.trace.add(trace) }() // under the world's lock
-	if stands := time.Until(w.nodes[to].pausedUntil); stands > 0 && status != 0 {
-		w.mu.Unlock() // the answer was made up and has not left
-		time.Sleep(min(stands, 4*time.Second))
+	if pause := time.Until(w.nodes[to].pausedUntil); pause > 0 && status != 0 {
+		w.mu.Unlock() // the answer was created but not sent
+		time.Sleep(min(pause, 4*time.Second))
 		w.mu.Lock()
 	}
 	defer w.mu.Unlock()
@@ -300,7 +300,7 @@
 		return
 	}
 	if m.cannotReceive && status == 200 {
-		w.recordEventLocked("report answered that a deaf machine sent")
+		w.recordEventLocked("heartbeat answered whose sender can't receive")
 	}
 	if m.cannotReceive || time.Since(sent) > 4*time.Second {
 		status = 0
@@ -344,8 +344,7 @@
 	}
 }
 
-// losesRenewal tells whether an answer that would renew a worker's lease is one of
-// those to be lost.
+// losesRenewal reports whether an answer that would renew a worker's lease is to be lost.
 func (w *world) losesRenewal(machine string, status int) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -356,8 +355,8 @@
 	return true
 }
 
-// execute carries out orders that were made at a time; the world's lock is
-// held.
+// execute executes commands that were created at the given time; the caller holds the
+// world's lock.
 func (m *simWorker) execute(orders []protocol.Command, made time.Time) {
 	for _, o := range orders {
 		t := m.tasks[o.Task]
--- a/internal/coordination/sim_world_test.go
+++ b/internal/coordination/sim_world_test.go
@@ -18,9 +18,8 @@
 	"reedtrack/internal/storage"
 )
 
-// world is a deployment of emulators in simulated time, with a plain model of
-// the rules: it keeps every task, machine and answer, and checks each event
-// against the complete state.
+// world is a simulated deployment with a model of the invariants: it tracks every task,
+// machine and answer, and checks each event against the complete state.
 type world struct {
 	settings *config.Settings
 	store    *emulator.KVStore
@@ -29,67 +28,67 @@
 
 	nodes                []*simNode
 	workers              map[string]*simWorker
-	ready                map[string]time.Time // when rented machines come up
+	ready                map[string]time.Time // when new machines come up
 	machinesByRequest    map[string][]string
 	lastMachineNumber    int
 	cloudUnavailable     bool
-	zonesSeparated       bool   // workers and controllers of one zone don't reach those of another
-	isolatedZone         string // its workers and the controllers outside don't reach each other
-	maxMachines          int    // that the cloud has
-	fillMachines         int    // machines a shard
-	maxTasks             int    // of a job, at most
+	zonesSeparated       bool   // workers and controllers of one zone can't reach those of another
+	isolatedZone         string // its workers and the controllers outside can't reach each other
+	maxMachines          int    // capacity of the cloud
+	fillMachines         int    // per shard
+	maxTasks             int    // maximum per job
 	withDependencies     bool   // some jobs have dependencies
-	upgrade              bool   // the controllers begin as the previous version
+	upgrade              bool   // the controllers start as the previous version
 	limitsLowered        bool   // the store's limits have been lowered
-	jobsWithDependencies int    // jobs that named others
+	jobsWithDependencies int    // number of jobs with dependencies
 	tweak                func(*Node)
-	adjustJob            func(k int, j *protocol.Job, u *user) // changes what users want
-	script               []fault                               // what goes wrong; nil: anything, at random
-	startedAt            time.Time                             // when the faults began
+	adjustJob            func(k int, j *protocol.Job, u *user) // modifies jobs and their users
+	script               []fault                               // faults to inject; nil: random faults
+	startedAt            time.Time                             // start of the fault period
 	shards               int                                   // 0: as many as controllers
 	faultSettings
 	linkLoss
 	disabledGuards
-	onStart           func() // called once, when the controllers have been started; nil: nothing is
-	afterFirstRequest func() // called once, between the first rental and its answer, which is lost
+	onStart           func() // called once, after the controllers have been started; may be nil
+	afterFirstRequest func() // called once, between the first machine request and its answer, which is lost
 
 	specs              map[string]*protocol.Job
-	finalStatus        map[string]string // the newest answer that must not be taken back
+	finalStatus        map[string]string // the last answered status that is final
 	accepted           map[string]bool
-	cancelConfirmedAt  map[string]time.Time // when a user was told of a cancellation
+	cancelConfirmedAt  map[string]time.Time // when a cancellation was first confirmed to a user
 	cancelRequested    map[string]bool
 	acceptedAt         map[string]time.Time // when a job was accepted
 	done               map[string]bool
-	taskWorker         map[string]*simWorker // where a started task is
+	taskWorker         map[string]*simWorker // by task: the worker that runs it
 	teamCores          map[string]float64
 	startCount         int
 	violations         []string
 	history            *history
-	events             map[string][]time.Time    // what happened, to prove that a scenario took place
-	longestAfterCancel time.Duration             // the longest that a task stayed after its job was cancelled
-	firstStartedAt     map[string]time.Time      // when a job's first task ran
+	events             map[string][]time.Time    // times of events, to prove that a scenario took place
+	longestAfterCancel time.Duration             // the longest time that a task stayed after its job was cancelled
+	firstStartedAt     map[string]time.Time      // when a job's first task started
 	firstEndedAt       map[string]time.Time      // and when the first ended
-	lastAnsweredAt     map[string]time.Time      // when a question about a job was last answered
-	leaderRevision     uint64                    // the leader's, as last seen
-	largestShards      [8]int                    // most machines that each shard has had
-	tokenOwners        map[machineTokenKey]*Node // who commanded each machine with which token
+	lastAnsweredAt     map[string]time.Time      // when a query about a job was last answered
+	leaderRevision     uint64                    // of the last observed leader
+	largestShards      [8]int                    // peak number of machines per shard
+	tokenOwners        map[machineTokenKey]*Node // the process that commanded a machine with a token
 	releasePending     map[string]bool           // machines whose release is in flight, by a late call
-	recoveredAt        time.Time                 // when all faults were over; zero: they are not
+	recoveredAt        time.Time                 // end of all faults; zero: not yet
 	waiting            waitingCheck
-	leaseEnds          []string // how leases came to end with a task on the worker
+	leaseEnds          []string // diagnostics of leases that expired with a task on the worker
 	wg                 sync.WaitGroup
 	ctx                context.Context
 }
 
-// linkLoss is what the simulated network loses with no fault injected.
+// linkLoss is the baseline loss of the simulated network without an injected fault.
 type linkLoss struct {
-	heldHeartbeats   int            // one in so many is held up, and nobody waits for its answer; 0: none
-	heartbeatAnswers float64        // share of them
-	peerCalls        float64        // share of them
-	answersToLose    map[string]int // by machine: how many of the next renewals of its lease are lost
+	heldHeartbeats   int            // one in this many is delivered after its worker timed out; 0: none
+	heartbeatAnswers float64        // share that is lost
+	peerCalls        float64        // share that is lost
+	answersToLose    map[string]int // by machine: how many of its next lease renewals are lost
 }
 
-// defaultLinkLoss is the loss in all worlds that don't say otherwise.
+// defaultLinkLoss is the baseline loss of worlds that don't override it.
 var defaultLinkLoss = linkLoss{heldHeartbeats: 60, heartbeatAnswers: 0.02, peerCalls: 0.02}
 
 type simNode struct {
@@ -97,17 +96,16 @@
 	node            *Node
 	storeLink       *simStoreLink
 	stop            context.CancelFunc
-	previousVersion bool // plays the previous version
-	cutFromWorkers  bool // workers do not reach it
-	cutFromPeers    bool // the other controllers and it don't reach each other
-	cutFromUsers    bool // users do not reach it
-	inIsolatedZone  bool // inside the zone that is cut off
+	previousVersion bool // simulates the previous version
+	cutFromWorkers  bool // workers can't reach it
+	cutFromPeers    bool // it and the other controllers can't reach each other
+	cutFromUsers    bool // users can't reach it
+	inIsolatedZone  bool // inside the isolated zone
 	zone            string
-	// The process is paused until then: nothing that it made leaves, and
-	// nothing arrives.
+	// The process is paused until then and neither sends nor receives.
 	pausedUntil time.Time
-	// It is being started; of two that find it down one starts it, as two
-	// processes of one name never run at once.
+	// A start is in progress. It prevents concurrent starts, as two processes of one name
+	// never run at once.
 	starting bool
 }
 
@@ -135,14 +133,14 @@
 		tokenOwners: map[machineTokenKey]*Node{}, releasePending: map[string]bool{}, waiting: waitingCheck{since: map[string]time.Time{}}}
 }
 
-// recordEvent records that something happened.
+// recordEvent records the time of an event.
 func (w *world) recordEvent(what string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.recordEventLocked(what)
 }
 
-// recordEventLocked is recordEvent where the world's lock is held.
+// recordEventLocked is recordEvent for callers that hold the world's lock.
 func (w *world) recordEventLocked(what string) { w.events[what] = append(w.events[what], time.Now()) }
 
 func (w *world) intn(n int) int {
@@ -164,16 +162,14 @@
 	go func() { defer w.wg.Done(); f() }()
 }
 
-// Controllers.
-
 type simPeer struct {
 	w        *world
 	to       int
 	from     string
-	tryMutex *sync.Mutex // held during a TryCall
+	tryMutex *sync.Mutex // locked during a TryCall
 }
 
-// TryCall fails while another is under way, and is like Call otherwise.
+// TryCall fails while another TryCall is in progress, and otherwise is like Call.
 func (p simPeer) TryCall(timeout time.Duration, in, out any) error {
 	if !p.tryMutex.TryLock() {
 		return errors.New("busy")
@@ -192,20 +188,20 @@
 			cut = cut || o.cutFromPeers || o.inIsolatedZone || time.Now().Before(o.pausedUntil) || p.w.zonesSeparated && o.zone != to.zone
 		}
 	}
-	still := time.Until(to.pausedUntil)
+	pause := time.Until(to.pausedUntil)
 	p.w.mu.Unlock()
-	if still > 0 {
-		time.Sleep(min(still, timeout))
-		cut = cut || still > timeout
+	if pause > 0 {
+		time.Sleep(min(pause, timeout))
+		cut = cut || pause > timeout
 	}
 	if n == nil || cut || p.w.chance(p.w.peerCalls) {
-		return errors.New("no link")
+		return errors.New("peer unreachable")
 	}
 	p.deliver(n, in, out)
 	return nil
 }
 
-// deliver has a controller answer a message.
+// deliver passes a message to a controller and stores its answer in out.
 func (p simPeer) deliver(n *Node, in, out any) {
 	message, ok := in.(*PeerMessage)
 	if !ok {
@@ -221,7 +217,7 @@
 	*out.(*PeerReply) = reply
 }
 
-// newNode makes a process of a controller that uses the world's cloud and workers.
+// newNode creates a controller process that uses the world's cloud and workers.
 func (w *world) newNode(i int, set *config.Settings, op config.Operator, st *storage.Client, peers map[string]Peer) *Node {
 	var n *Node
 	n = New(set, op, st, simCloud{w}, peers, func(_ context.Context, address string, d protocol.DirectCommands) DirectAnswer {
@@ -262,7 +258,7 @@
 	w.spawn(func() { n.Run(ctx) })
 }
 
-// addNodes adds controllers, in the zones in turn.
+// addNodes adds controllers, alternating between the zones.
 func (w *world) addNodes(count int) {
 	for i := range count {
 		w.nodes = append(w.nodes, &simNode{name: fmt.Sprintf("n%d", i), zone: []string{"a", "b"}[i%2]})
@@ -284,7 +280,7 @@
 	return w.nodes[i].node
 }
 
-// addDependencies makes a job depend on some that were accepted.
+// addDependencies makes a job depend on some accepted jobs.
 func (w *world) addDependencies(j *protocol.Job) {
 	var candidates []string
 	for id := range w.accepted {
@@ -301,7 +297,7 @@
 	w.jobsWithDependencies++
 }
 
-// allDone tells whether all tasks of a job are done.
+// allDone reports whether all tasks of a job are done.
 func (w *world) allDone(id string) bool {
 	for t := range w.specs[id].Tasks {
 		if !w.done[protocol.FormatTaskName(id, t)] {
@@ -311,8 +307,8 @@
 	return true
 }
 
-// cancelledBefore is when a user was first told that a dependency of a job is
-// cancelled, and not before the job was accepted.
+// cancelledBefore returns when the cancellation of a dependency of a job was first
+// confirmed, but no time before the job was accepted. It is zero if there is none.
 func (w *world) cancelledBefore(id string) time.Time {
 	var first time.Time
 	for _, dep := range w.specs[id].DependsOn {
@@ -328,14 +324,14 @@
 	return first
 }
 
-// cancelled tells whether a user has asked to cancel a job or a dependency of
-// it.
+// cancelled reports whether a user has requested the cancellation of a job or of one of
+// its dependencies.
 func (w *world) cancelled(id string) bool {
 	return w.cancelRequested[id] || slices.ContainsFunc(w.specs[id].DependsOn, w.cancelled)
 }
 
-// rollUpgrade replaces the controllers by the new version, one after the other,
-// and then lowers the limits of the store as soon as records are split.
+// rollUpgrade replaces the controllers by the new version, one after the other, and lowers
+// the limits of the store as soon as records are split.
 func (w *world) rollUpgrade() {
 	for i := range w.nodes {
 		time.Sleep(20 * time.Second)
@@ -353,9 +349,9 @@
 				w.mu.Unlock()
 				n := w.settings.Deployment.State.Next
 				w.store.SetLimits(n.MaxValueBytes(), n.TxnOps, int(n.WriteRPS))
-				// What was in flight, and what a controller writes that has not
-				// seen the upgrade yet, may exceed the limits: it is refused
-				// and does no harm. Later nothing may.
+				// Writes in flight, and writes of a controller that has not yet seen the
+				// upgrade, may exceed the limits: they are refused, which is harmless. No
+				// later write may.
 				time.Sleep(30 * time.Second)
 				w.store.TakeOversized()
 				return
@@ -365,7 +361,7 @@
 	}
 }
 
-// open begins a world; stop ends all that runs in it.
+// open starts a world; stop ends all goroutines in it.
 func (w *world) open() (stop func()) {
 	ctx, end := context.WithCancel(context.Background())
 	w.ctx = ctx
@@ -376,9 +372,9 @@
 	}
 }
 
-// play runs a time of faults and then a calm, after which every job must have
-// ended. It is called in a bubble of simulated time.
-func (w *world) play(jobs int, rough, calm time.Duration) {
+// play runs a period of faults and then a period without, after which every job must have
+// ended. It must be called in a synctest bubble.
+func (w *world) play(jobs int, faultPeriod, recoveryPeriod time.Duration) {
 	stop := w.open()
 	w.addNodes(3)
 	for i := range w.nodes {
@@ -410,7 +406,7 @@
 		if k%8 == 7 {
 			j.Type, j.Tasks, u.cancels = "standing", 1+w.intn(3), true
 		}
-		u.submitAfter = time.Duration(w.intn(int(rough.Seconds()))) * time.Second
+		u.submitAfter = time.Duration(w.intn(int(faultPeriod.Seconds()))) * time.Second
 		if w.adjustJob != nil {
 			w.adjustJob(k, j, u)
 		}
@@ -421,7 +417,7 @@
 		w.onStart()
 	}
 	w.spawn(w.watch)
-	end := w.startedAt.Add(rough)
+	end := w.startedAt.Add(faultPeriod)
 	if w.script != nil {
 		w.runScript(w.script)
 		time.Sleep(time.Until(end))
@@ -432,7 +428,7 @@
 		w.injectFault(w.randomFault())
 	}
 	w.recover()
-	time.Sleep(calm)
+	time.Sleep(recoveryPeriod)
 	why := w.explainUnfinished()
 	w.mu.Lock()
 	for _, why := range w.store.TakeOversized() {
@@ -450,8 +446,8 @@
 	stop()
 }
 
-// explainUnfinished tells, of each job that has not ended, how it stands with
-// its holder, and of all shards what they have and want of its team's quota.
+// explainUnfinished describes, for each job that has not ended, its state at its holder
+// and the quota shares that all shards have and need.
 func (w *world) explainUnfinished() map[string]string {
 	why, shares := map[string]string{}, ""
 	for i := range w.nodes {
@@ -486,7 +482,7 @@
 	return why
 }
 
-// recordShardSizes records how large the shards are.
+// recordShardSizes records the peak number of machines of each shard.
 func (w *world) recordShardSizes() {
 	if n := w.node(0); n != nil {
 		n.mu.Lock()
@@ -508,7 +504,7 @@
 	}
 }
 
-// applyGrant makes a shard's grant known to a controller.
+// applyGrant applies a change of a shard's grant to a controller.
 func applyGrant(n *Node, i int, g storage.Grant, stamp uint64) {
 	raw, _ := json.Marshal(g)
 	for _, change := range n.records.Apply([]protocol.Change{{Put: storage.GrantKey(i), Value: raw, Revision: stamp}}) {
--- a/internal/coordination/unanswered_start_test.go
+++ b/internal/coordination/unanswered_start_test.go
@@ -9,17 +9,17 @@
 	"reedtrack/internal/protocol"
 )
 
-// unansweredStart is a case of direct starts that are unanswered as two zones stop
-// reaching each other.
+// unansweredStart is a case of direct starts that get no answer while a partition
+// separates two zones.
 type unansweredStart struct {
 	outcome        string
-	maxDelay       time.Duration // the starts arrive within so long, or after the end
+	maxDelay       time.Duration // of the starts; those delayed beyond the end never arrive
 	cancelled      bool          // jobs are cancelled during the cut
 	holderReplaced bool
 	proxyRestarted bool
 }
 
-// ciUnansweredStartStep is every how many cases CI plays one; -all plays all.
+// ciUnansweredStartStep is the step at which CI samples the cases; -all plays all.
 const ciUnansweredStartStep = 9
 
 // unansweredStarts returns all combinations.
@@ -38,8 +38,8 @@
 	return cases
 }
 
-// faults returns what goes wrong: from 54 s on no direct start is answered, from 60 s to
-// 120 s the zones don't reach each other.
+// faults returns the faults: from 54 s on no direct start is answered, and from 60 s to
+// 120 s the zones are separated.
 func (c unansweredStart) faults() []fault {
 	list := []fault{
 		{at: 54 * sec, kind: directLate, share: 1, maxDelay: c.maxDelay, verb: protocol.VerbStart, duration: 20 * sec},
@@ -57,8 +57,8 @@
 	return list
 }
 
-// Tasks were dropped behind a cut between zones since a direct start to their machine was
-// unanswered (issue 46): they are kept, whatever becomes of the start.
+// Guards against tasks lost behind a partition between zones because a direct start to their
+// machine was unanswered (issue 46): they are kept, whatever the start's outcome.
 func TestUnansweredStartLosesNoTaskBehindCut(t *testing.T) {
 	for k, c := range unansweredStarts() {
 		if k%ciUnansweredStartStep != 0 && !*all {
@@ -82,7 +82,8 @@
 	}
 }
 
-// play plays a case: long jobs run in both zones, and short ones come as the cut begins.
+// play simulates a case: long jobs run in both zones, and jobs with two tasks are submitted
+// as the partition begins.
 func (c unansweredStart) play(t *testing.T, seed uint64) *world {
 	var w *world
 	synctest.Test(t, func(t *testing.T) {
--- a/internal/coordination/waiting_worlds_test.go
+++ b/internal/coordination/waiting_worlds_test.go
@@ -10,17 +10,17 @@
 	"reedtrack/internal/protocol"
 )
 
-// ciWaitingWorlds is how many worlds CI plays; -all plays allWaitingWorlds.
+// ciWaitingWorlds is the number of worlds that CI plays; -all plays allWaitingWorlds.
 const (
 	ciWaitingWorlds  = 6
 	allWaitingWorlds = 200
 )
 
-// Small worlds of two to four shards with more work than machines, the cloud has few, and
-// quotas that are soon reached: once lost answers and slow links are over, no task waits
-// for 90 s while a machine that fits has room and its team is under its limit, wherever
-// both are. What such worlds showed before: shares of a quota in shards without machines,
-// jobs in shards without room, and jobs kept off machines by a lost answer (see
+// Small worlds of two to four shards have more work than machines, a cloud with few
+// machines, and tight quotas. Once lost answers and slow links are over, no task waits for
+// 90 s while its team is under its limit and a suitable machine of any shard has room.
+// Failures found this way: quota shares stuck in shards without machines, jobs stuck in
+// shards without room, and jobs kept off machines by a lost answer (see
 // docs/incidents/inc-42-room.md).
 func TestNoTaskWaitsBesideRoomInSmallWorlds(t *testing.T) {
 	worlds := uint64(ciWaitingWorlds)
@@ -41,7 +41,7 @@
 	}
 }
 
-// shapeForWaiting draws the size of a world, its quotas, its jobs and what disturbs it.
+// shapeForWaiting draws the size of a world, its quotas, its jobs and its faults.
 func (w *world) shapeForWaiting(random *rand.Rand) {
 	w.shards = 2 + random.IntN(3)
 	w.fillMachines = 1 + random.IntN(3)
