--- a/internal/coordination/late_start_test.go
+++ b/internal/coordination/late_start_test.go
@@ -11,7 +11,7 @@
 // The start may still arrive later, which conflicts only with another attempt of the same
 // task, and a completed task has none. Before, no task of the job was placed on the machine
 // for as long as it was leased, and jobs waited beside a nearly empty machine of their own
-// shard: wk-000035 in 5 of 240 runs of the scenario of slow links, with a limit of 40 s
+// shard: wk-000035 in 5 of 240 trial runs of the scenario of slow links, with a limit of 40 s
 // instead of 90 s. In four of them a machine with room had a line such as
 // `host-000009 big used 8/16 schedulable true, may arrive [wk-000035/3 ...]`.
 func TestLostAnswerKeepsNoOtherTaskAway(t *testing.T) {
--- a/internal/coordination/sim_delegation_order_test.go
+++ b/internal/coordination/sim_delegation_order_test.go
@@ -143,7 +143,7 @@
 }
 
 // isDue reports whether another kind of write may now precede a delegation or an
-// acknowledgement, starting shortly before these are due.
+// acknowledgement, starting within the last second before these are due.
 func (o *delayCaseRun) isDue(sender string) bool {
 	return o.concerns(sender) && o.sinceCut() >= dueAfter && o.sinceCut() < maxProxyDelay
 }
--- a/internal/coordination/sim_faults_test.go
+++ b/internal/coordination/sim_faults_test.go
@@ -86,7 +86,7 @@
 	directDelay         time.Duration
 	heartbeatDelay      time.Duration
 	heartbeatCopyRate   float64               // share of heartbeats with a late copy
-	copiesForNextLeader bool                  // copies are kept until the next leader has acted
+	copiesForNextLeader bool                  // copies are kept for the next leader
 	keptHeartbeats      []*protocol.Heartbeat // copies kept for the next leader
 	cancelAtEndRate     float64               // share of jobs that are cancelled as they end
 	invalidRequests     bool
--- a/internal/coordination/sim_store_link_test.go
+++ b/internal/coordination/sim_store_link_test.go
@@ -42,7 +42,7 @@
 	newestCommitted   uint64
 	previousVersion   bool   // simulates a controller of the previous version: see hideNewKeys
 	lastOwnKeyTxn     []byte // the last transaction that wrote a controller's key
-	// decideFate lets a test decide the outcome of each transaction as it is sent; nil: it is
+	// decideOutcome lets a test decide the outcome of each transaction as it is sent; nil: it is
 	// random.
 	decideOutcome func(protocol.Txn) forcedOutcome
 }
