--- a/internal/coordination/sim_cloud_test.go
+++ b/internal/coordination/sim_cloud_test.go
@@ -16,8 +16,8 @@
 	time.Sleep(time.Duration(20+c.w.intn(80)) * time.Millisecond)
 	c.w.mu.Lock()
 	defer c.w.mu.Unlock()
-	if c.w.noCloud || c.w.random.IntN(50) == 0 {
-		return errors.New("trouble")
+	if c.w.cloudUnavailable || c.w.random.IntN(50) == 0 {
+		return errors.New("cloud: simulated failure")
 	}
 	return nil
 }
@@ -34,18 +34,18 @@
 	if late := w.cloudDelay(); late > 0 {
 		w.spawn(func() {
 			sleep(w.ctx, late)
-			c.rent(r)
+			c.createMachines(r)
 		})
 		return nil, errors.New("no answer")
 	}
-	return c.rent(r)
+	return c.createMachines(r)
 }
 
-// rent carries out a scale-out.
-func (c simCloud) rent(r protocol.MachineRequest) ([]string, error) {
+// createMachines executes a scale-out request, once per request id.
+func (c simCloud) createMachines(r protocol.MachineRequest) ([]string, error) {
 	w := c.w
 	w.mu.Lock()
-	if got, ok := w.rentals[r.RequestID]; ok {
+	if got, ok := w.machinesByRequest[r.RequestID]; ok {
 		w.mu.Unlock()
 		return got, nil
 	}
@@ -54,8 +54,8 @@
 		if len(w.workers) >= w.maxMachines {
 			break
 		}
-		w.next++
-		m := &simWorker{w: w, id: fmt.Sprintf("host-%06d", w.next), rental: r, rentedAt: time.Now(), tasks: map[string]*simTask{}}
+		w.lastMachineNumber++
+		m := &simWorker{w: w, id: fmt.Sprintf("host-%06d", w.lastMachineNumber), request: r, createdAt: time.Now(), tasks: map[string]*simTask{}}
 		for _, b := range simMachineTypes {
 			if b.Name == r.MachineType {
 				m.machineType = b
@@ -67,7 +67,7 @@
 		if w.quickBoots {
 			boot = time.Duration(w.random.IntN(2000)) * time.Millisecond
 		}
-		if w.random.IntN(12) > 0 { // a few never come up
+		if w.random.IntN(12) > 0 { // some machines never come up
 			m.bootedAt = time.Now().Add(boot)
 			w.wg.Add(1)
 			go func() { defer w.wg.Done(); m.run(boot) }()
@@ -77,13 +77,13 @@
 		w.mu.Unlock()
 		return nil, ErrNoCapacity
 	}
-	w.rentals[r.RequestID] = names
+	w.machinesByRequest[r.RequestID] = names
 	lost := w.random.IntN(10) == 0
-	f := w.afterRental
-	w.afterRental = nil
+	hook := w.afterFirstRequest
+	w.afterFirstRequest = nil
 	w.mu.Unlock()
-	if f != nil {
-		f()
+	if hook != nil {
+		hook()
 		lost = true
 	}
 	if lost {
@@ -104,16 +104,16 @@
 		c.w.mu.Unlock()
 		c.w.spawn(func() {
 			sleep(c.w.ctx, late)
-			c.released(names)
+			c.removeMachines(names)
 		})
 		return errors.New("no answer")
 	}
-	c.released(names)
+	c.removeMachines(names)
 	return nil
 }
 
-// released removes machines with all that is on them.
-func (c simCloud) released(names []string) {
+// removeMachines removes machines and the tasks on them.
+func (c simCloud) removeMachines(names []string) {
 	c.w.mu.Lock()
 	defer c.w.mu.Unlock()
 	for _, id := range names {
@@ -124,10 +124,10 @@
 	}
 }
 
-// maxCloudDelay is how late a call to the cloud is carried out, at most.
+// maxCloudDelay is the maximum delay of a late call to the cloud.
 const maxCloudDelay = 40 * time.Second
 
-// cloudDelay is how late a call to the cloud is carried out; 0: at once.
+// cloudDelay returns the delay with which a call to the cloud is executed; 0: none.
 func (w *world) cloudDelay() time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -144,25 +144,25 @@
 	}
 	c.w.mu.Lock()
 	defer c.w.mu.Unlock()
-	var l protocol.MachineList
+	var list protocol.MachineList
 	for id, m := range c.w.workers {
-		if id <= since || time.Since(m.rentedAt) < 2*time.Second {
+		if id <= since || time.Since(m.createdAt) < 2*time.Second {
 			continue
 		}
-		st := "starting"
+		status := "starting"
 		if m.dead {
-			st = "failed"
+			status = "failed"
 		} else if !m.bootedAt.IsZero() && time.Now().After(m.bootedAt) {
-			st = "running"
+			status = "running"
 		}
-		l.Machines = append(l.Machines, protocol.ListedMachine{ID: id, MachineType: m.rental.MachineType, Zone: m.rental.Zone, Spot: m.rental.Spot,
-			Status: st, AgeSeconds: time.Since(m.rentedAt).Seconds()})
+		list.Machines = append(list.Machines, protocol.ListedMachine{ID: id, MachineType: m.request.MachineType, Zone: m.request.Zone, Spot: m.request.Spot,
+			Status: status, AgeSeconds: time.Since(m.createdAt).Seconds()})
 	}
-	slices.SortFunc(l.Machines, func(a, b protocol.ListedMachine) int {
+	slices.SortFunc(list.Machines, func(a, b protocol.ListedMachine) int {
 		if a.ID < b.ID {
 			return -1
 		}
 		return 1
 	})
-	return l, nil
+	return list, nil
 }
--- a/internal/coordination/sim_faults_test.go
+++ b/internal/coordination/sim_faults_test.go
@@ -9,19 +9,19 @@
 	"reedtrack/internal/protocol"
 )
 
-// fault is one thing that goes wrong: what, to whom, when and for how long. All
-// that ever goes wrong in the world is one of these, at random or by a script.
+// fault is an injected fault: its kind, target, start and duration. Faults are injected at
+// random or by a script.
 type fault struct {
-	at       time.Duration // since the faults began
-	kind     faultKind
-	target   faultTarget
-	duration time.Duration
-	count    int           // machines, jobs, or how often a process ends
-	share    float64       // of transactions, reports, jobs that end
-	zone     string        // empty: any
-	hangFor  time.Duration // how long machines hang
-	maxDelay time.Duration // how long direct commands are delayed, at most
-	verb     string        // which direct commands; empty: all
+	at           time.Duration // since the start of the fault period
+	kind         faultKind
+	target       faultTarget
+	duration     time.Duration
+	count        int           // of machines or jobs, or how often a process ends
+	share        float64       // of transactions, heartbeats or ending jobs
+	zone         string        // empty: any
+	hangDuration time.Duration // how long machines hang
+	maxDelay     time.Duration // of direct commands
+	verb         string        // which direct commands; empty: all
 }
 
 // faultKind names a kind of fault.
@@ -61,24 +61,23 @@
 	cloudCallsLate               faultKind = "calls to the cloud are carried out late"
 )
 
-// allFaultKinds lists the kinds that pairs are made of.
+// allFaultKinds lists the kinds that faultPairs combines.
 var allFaultKinds = []faultKind{controllerEnds, controllerPauses, storeRefusesOne, controllerIsolated, peersSeparated, workersSeparated, storeOutage, storeSlow, txnsLate, txnAnswersLost,
 	heartbeatCopiesLate, heartbeatCopiesForNextLeader, machinesCannotReceive, machinesCannotSend, machinesHang, machinesDie, machinesFailTasks, machinesReclaimed, directSlow, zoneIsolated, zoneIsolatedWithController, zonesSeparated, cloudOutage,
 	cancelRunningJobs, cancelEndingJobs, invalidRequests, concurrentReads, leaderChanges, heartbeatsSlow, directLate, cloudCallsLate}
 
-// faultTarget says whom a fault strikes, as it stands at that moment.
+// faultTarget selects the controllers that a fault affects, at the moment it begins.
 type faultTarget string
 
 const (
-	theLeader  faultTarget = "leader"
-	theBusiest faultTarget = "busiest holder"
-	theRest    faultTarget = "all but the leader"
-	everybody  faultTarget = "all"
-	anyone     faultTarget = "any" // also the zero value
+	targetLeader     faultTarget = "leader"
+	targetBusiest    faultTarget = "busiest holder"
+	targetNonLeaders faultTarget = "all but the leader"
+	targetAll        faultTarget = "all"
+	targetAny        faultTarget = "any" // same as the zero value
 )
 
-// faultSettings is what the active faults set in the world; guarded by its
-// lock.
+// faultSettings are the effects of the active faults; guarded by the world's lock.
 type faultSettings struct {
 	txnFailureRate      float64 // of transactions
 	lateTxnRate         float64
@@ -86,29 +85,29 @@
 	storeDelay          time.Duration
 	directDelay         time.Duration
 	heartbeatDelay      time.Duration
-	heartbeatCopyRate   float64               // copies that arrive later
-	copiesForNextLeader bool                  // not before the next leader has acted
-	keptHeartbeats      []*protocol.Heartbeat // until then
-	cancelAtEndRate     float64               // of jobs that are cancelled as they end
+	heartbeatCopyRate   float64               // share of heartbeats with a late copy
+	copiesForNextLeader bool                  // copies are kept for the next leader
+	keptHeartbeats      []*protocol.Heartbeat // copies kept for the next leader
+	cancelAtEndRate     float64               // share of jobs that are cancelled as they end
 	invalidRequests     bool
 	concurrentReads     bool
-	quickBoots          bool // machines are up within two seconds
+	quickBoots          bool // machines boot within two seconds
 	delayedCommands     delayedCommands
-	lateCloudRate       float64 // of calls to the cloud
+	lateCloudRate       float64 // share of calls to the cloud
 }
 
-// disabledGuards are guards that a test disables from outside: the world then
-// treats messages as they would be taken were the guard not there.
+// disabledGuards are guards that a test disables from outside the node: the world changes
+// messages so that they are accepted as if the guard did not exist.
 type disabledGuards struct {
-	order      bool // heartbeats are not told apart by age: a copy seems to be the newest
-	term       bool // nor by token: a copy seems to know the newest
-	conditions bool // transactions have none
-	reads      bool // users are told what a controller read seconds ago
-	proxyStops bool // proxies stop nothing
+	order      bool // no ordering of heartbeats: a late copy appears to be the newest
+	term       bool // no check of tokens: a late copy appears to know the newest
+	conditions bool // transactions have no preconditions
+	reads      bool // users get answers from reads that are seconds old
+	proxyStops bool // proxies stop no tasks
 	binding    bool // a direct command without an answer counts as never sent
 }
 
-// leader is the number of the leading controller, or -1.
+// leader returns the index of the leader, or -1.
 func (w *world) leader() int {
 	for i := range w.nodes {
 		if n := w.node(i); n != nil {
@@ -123,28 +122,29 @@
 	return -1
 }
 
-// targets lists the controllers that a fault is to strike.
+// targets returns the indexes of the controllers that a target selects.
 func (w *world) targets(who faultTarget) []int {
 	all, lead := []int{}, w.leader()
 	for i := range w.nodes {
 		all = append(all, i)
 	}
 	switch who {
-	case everybody:
+	case targetAll:
 		return all
-	case theLeader:
+	case targetLeader:
 		if lead >= 0 {
 			return []int{lead}
 		}
-	case theRest:
+	case targetNonLeaders:
 		return slices.DeleteFunc(all, func(i int) bool { return i == lead })
-	case theBusiest:
+	case targetBusiest:
 		return []int{slices.MaxFunc(all, func(a, b int) int { return cmp.Compare(w.placedTasks(a), w.placedTasks(b)) })}
 	}
 	return []int{w.intn(len(w.nodes))}
 }
 
-// placedTasks is how many tasks a controller has placed.
+// placedTasks returns the number of tasks that a controller has placed, or -1 if it is
+// down.
 func (w *world) placedTasks(i int) int {
 	n := w.node(i)
 	if n == nil {
@@ -161,11 +161,11 @@
 	return sum
 }
 
-// machinesUp selects machines that are up, those with most tasks first.
-func (w *world) machinesUp(count int, zone string) []*simWorker {
+// selectMachines selects running machines in random order, those with tasks first.
+func (w *world) selectMachines(count int, zone string) []*simWorker {
 	var up []*simWorker
 	for _, id := range slices.Sorted(maps.Keys(w.workers)) {
-		if m := w.workers[id]; m.session > 0 && !m.dead && (zone == "" || zone == m.rental.Zone) {
+		if m := w.workers[id]; m.session > 0 && !m.dead && (zone == "" || zone == m.request.Zone) {
 			up = append(up, m)
 		}
 	}
@@ -174,7 +174,7 @@
 	return up[:min(len(up), max(1, count))]
 }
 
-// runScript plays a script.
+// runScript schedules the faults of a script.
 func (w *world) runScript(script []fault) {
 	for _, f := range script {
 		w.spawn(func() {
@@ -184,7 +184,7 @@
 	}
 }
 
-// injectFault begins a fault and ends it when its time is over.
+// injectFault begins a fault and ends it after its duration.
 func (w *world) injectFault(f fault) {
 	end := w.beginFault(f)
 	w.recordEvent(string(f.kind))
@@ -198,17 +198,17 @@
 	})
 }
 
-// beginFault makes one thing go wrong and returns what ends it; nil: nothing
-// has to.
+// beginFault injects a fault and returns the function that ends it, or nil if the fault
+// ends by itself.
 func (w *world) beginFault(f fault) (end func()) {
-	// set changes the world, and back.
+	// set applies a change to the world and returns its reversal.
 	set := func(on, off func()) func() {
 		w.mu.Lock()
 		defer w.mu.Unlock()
 		on()
 		return func() { w.mu.Lock(); defer w.mu.Unlock(); off() }
 	}
-	// nodes changes the controllers that are struck, and back.
+	// nodes applies a change to the targeted controllers and returns its reversal.
 	nodes := func(change func(n *simNode, on bool)) func() {
 		which := w.targets(f.target)
 		each := func(on bool) func() {
@@ -229,21 +229,21 @@
 				}
 			}
 		}
-		return set(func() { list = w.machinesUp(f.count, f.zone); each(true)() }, each(false))
+		return set(func() { list = w.selectMachines(f.count, f.zone); each(true)() }, each(false))
 	}
 	refuse := func(n *simNode, on bool) {
-		if n.wire != nil {
-			n.wire.mu.Lock()
-			n.wire.refusing = on
-			n.wire.mu.Unlock()
+		if n.storeLink != nil {
+			n.storeLink.mu.Lock()
+			n.storeLink.refusing = on
+			n.storeLink.mu.Unlock()
 		}
 	}
 	wires := func(share func(wr *simStoreLink)) {
 		for _, n := range w.nodes {
-			if n.wire != nil {
-				n.wire.mu.Lock()
-				share(n.wire)
-				n.wire.mu.Unlock()
+			if n.storeLink != nil {
+				n.storeLink.mu.Lock()
+				share(n.storeLink)
+				n.storeLink.mu.Unlock()
 			}
 		}
 	}
@@ -318,19 +318,19 @@
 	case zonesSeparated:
 		return set(func() { w.zonesSeparated = true }, func() { w.zonesSeparated = false })
 	case cloudOutage:
-		return set(func() { w.noCloud = true }, func() { w.noCloud = false })
+		return set(func() { w.cloudUnavailable = true }, func() { w.cloudUnavailable = false })
 	case heartbeatsSlow:
 		return set(func() { w.heartbeatDelay = 1500 * time.Millisecond }, func() { w.heartbeatDelay = 0 })
 	case directLate:
 		held := delayedCommands{share: f.share, maxDelay: cmp.Or(f.maxDelay, maxCommandDelay), verb: f.verb}
-		if f.target != anyone && f.target != "" && f.target != everybody {
+		if f.target != targetAny && f.target != "" && f.target != targetAll {
 			held.from = w.targets(f.target)
 		}
 		return set(func() { w.delayedCommands = held }, func() { w.delayedCommands = delayedCommands{} })
 	case cloudCallsLate:
 		return set(func() { w.lateCloudRate = f.share }, func() { w.lateCloudRate = 0 })
 	case cancelRunningJobs:
-		w.cancelSome(max(1, f.count), f.hangFor)
+		w.cancelLongestRunning(max(1, f.count), f.hangDuration)
 		return nil
 	case cancelEndingJobs:
 		return set(func() { w.cancelAtEndRate = f.share }, func() { w.cancelAtEndRate = 0 })
@@ -341,22 +341,22 @@
 	case leaderChanges:
 		w.spawn(func() {
 			for range max(1, f.count) {
-				w.endAndRestart(time.Duration(50+w.intn(900))*time.Millisecond, 1, w.targets(theLeader)...)
+				w.endAndRestart(time.Duration(50+w.intn(900))*time.Millisecond, 1, w.targets(targetLeader)...)
 				time.Sleep(f.duration / time.Duration(max(1, f.count)))
 			}
 		})
 		return nil
 	}
-	panic("no such fault: " + f.kind)
+	panic("unknown fault kind: " + f.kind)
 }
 
-// randomFault is any fault, at random.
+// randomFault returns a fault of a random kind.
 func (w *world) randomFault() fault {
 	back := time.Duration(1+w.intn(12)) * time.Second
 	switch w.intn(11) {
 	case 0, 1:
-		f := fault{kind: controllerEnds, target: []faultTarget{anyone, everybody}[w.intn(2)], duration: back}
-		if w.intn(2) == 0 { // back after a moment, and then mostly ends some more times
+		f := fault{kind: controllerEnds, target: []faultTarget{targetAny, targetAll}[w.intn(2)], duration: back}
+		if w.intn(2) == 0 { // restarts quickly, and often ends several times
 			f.duration, f.count = time.Duration(5+w.intn(300))*time.Millisecond, 1+w.intn(5)
 		}
 		return f
@@ -385,13 +385,13 @@
 	defer w.mu.Unlock()
 	w.faultSettings = faultSettings{txnFailureRate: w.txnFailureRate, keptHeartbeats: w.keptHeartbeats}
 	w.recoveredAt = time.Now()
-	w.noCloud, w.isolatedZone, w.zonesSeparated = false, "", false
+	w.cloudUnavailable, w.isolatedZone, w.zonesSeparated = false, "", false
 	for _, n := range w.nodes {
 		n.cutFromWorkers, n.cutFromPeers, n.cutFromUsers, n.inIsolatedZone, n.pausedUntil = false, false, false, false, time.Time{}
-		if n.wire != nil {
-			n.wire.mu.Lock()
-			n.wire.refusing, n.wire.lateRate, n.wire.lostRate = false, 0, 0
-			n.wire.mu.Unlock()
+		if n.storeLink != nil {
+			n.storeLink.mu.Lock()
+			n.storeLink.refusing, n.storeLink.lateRate, n.storeLink.lostRate = false, 0, 0
+			n.storeLink.mu.Unlock()
 		}
 	}
 	for _, m := range w.workers {
@@ -399,8 +399,8 @@
 	}
 }
 
-// reclaimIn has the cloud reclaim a machine after a notice; the world's lock is
-// held.
+// reclaimIn makes the cloud reclaim a machine after a notice; the caller holds the world's
+// lock.
 func (m *simWorker) reclaimIn(d time.Duration) {
 	s := d.Seconds()
 	m.warningS, m.changed = &s, true
@@ -415,14 +415,13 @@
 	})
 }
 
-// endAndRestart ends processes so many times, which are started again after a
-// while.
-func (w *world) endAndRestart(back time.Duration, times int, which ...int) {
+// endAndRestart ends processes the given number of times and restarts each after a delay.
+func (w *world) endAndRestart(delay time.Duration, times int, which ...int) {
 	for _, i := range which {
 		w.spawn(func() {
 			for range times {
 				w.kill(i)
-				time.Sleep(back)
+				time.Sleep(delay)
 				w.startIfDown(i)
 				time.Sleep(time.Duration(w.intn(2000)) * time.Millisecond)
 			}
@@ -430,9 +429,9 @@
 	}
 }
 
-// cancelSome has users cancel jobs that run and have long to go; up to eight of
-// their machines hang.
-func (w *world) cancelSome(count int, hang time.Duration) {
+// cancelLongestRunning makes users cancel the running jobs with the longest time left. If
+// hang is positive, up to eight of their machines hang for that long.
+func (w *world) cancelLongestRunning(count int, hang time.Duration) {
 	w.mu.Lock()
 	left := map[string]time.Duration{}
 	for name, m := range w.taskWorker {
@@ -458,7 +457,7 @@
 	for _, id := range ids {
 		w.spawn(func() {
 			time.Sleep(time.Duration(w.intn(200)) * time.Millisecond)
-			(&user{w: w, job: w.spec(id)}).cancelUntilConfirmed()
+			(&user{w: w, job: w.jobSpec(id)}).cancelUntilConfirmed()
 		})
 	}
 }
--- a/internal/coordination/sim_worker_test.go
+++ b/internal/coordination/sim_worker_test.go
@@ -11,9 +11,9 @@
 type simWorker struct {
 	w                *world
 	id               string
-	rental           protocol.MachineRequest
+	request          protocol.MachineRequest
 	machineType      protocol.MachineType
-	rentedAt         time.Time
+	createdAt        time.Time
 	bootedAt         time.Time
 	dead             bool
 	session          uint64
@@ -24,12 +24,12 @@
 	tasks            map[string]*simTask
 	failing          bool
 	cannotReceive    bool // answers and direct commands to it are lost
-	cannotSend       bool // it reaches no controller
+	cannotSend       bool // it can't reach any controller
 	hungUntil        time.Time
-	resumedAt        time.Time // when it last resumed after it hung
+	resumedAt        time.Time // when its last hang ended
 	changed          bool
 	controller       int
-	leaseEpoch       uint64 // changes with the session: late answers are dropped
+	leaseEpoch       uint64 // incremented with the session, to drop late answers
 	trace            heartbeatTrace
 }
 
@@ -40,11 +40,11 @@
 	status     string
 	cause      string
 	nextChange time.Time
-	active     bool      // counts as on the machine
-	orderedAt  time.Time // when the command that starts it was made
+	active     bool      // occupies the machine
+	orderedAt  time.Time // when its start command was created
 }
 
-// die ends a worker; the world's lock is held.
+// die ends a worker; the caller holds the world's lock.
 func (m *simWorker) die() {
 	m.dead = true
 	for _, t := range m.tasks {
@@ -70,42 +70,42 @@
 	}
 }
 
-// startTask starts a task's run, at which the rules are checked.
+// startTask starts a task and checks the invariants.
 func (m *simWorker) startTask(t *simTask) {
 	w, j := m.w, t.job
 	w.startCount++
 	if o := w.taskWorker[t.name]; o != nil {
-		w.breakf("ran_twice: %s on %s and %s", t.name, o.id, m.id)
+		w.violationf("ran_twice: %s on %s and %s", t.name, o.id, m.id)
 	}
 	if at, ok := w.cancelConfirmedAt[j.ID]; ok && time.Since(at).Seconds() > w.settings.Deployment.Workers.CancelS {
-		w.breakf("ran_cancelled: %s starts", t.name)
+		w.violationf("ran_cancelled: %s starts", t.name)
 	} else if ok {
-		w.recordEventLocked("a start after a confirmed cancellation") // its command was under way
+		w.recordEventLocked("a start after a confirmed cancellation") // its command was in flight
 		if late := t.orderedAt.Sub(at); late > w.settings.Defaults().HolderLease {
-			w.breakf("started_cancelled: %s, ordered %v after its user was told that it is cancelled", t.name, late)
+			w.violationf("started_cancelled: %s, ordered %v after its cancellation was confirmed", t.name, late)
 		}
 	}
 	for _, id := range j.DependsOn {
 		if !w.allDone(id) {
-			w.breakf("too_early: %s before %s", t.name, id)
+			w.violationf("too_early: %s before %s", t.name, id)
 		}
 	}
-	if !allowedOn(j, m) {
-		w.breakf("wrong_place: %s on %s", t.name, m.id)
+	if !isAllowedOn(j, m) {
+		w.violationf("wrong_place: %s on %s", t.name, m.id)
 	}
 	same := 1
 	for name, o := range w.taskWorker {
 		if id, _, _ := protocol.ParseTaskName(name); id != j.ID {
 			continue
 		}
-		if o.rental.Zone == m.rental.Zone {
+		if o.request.Zone == m.request.Zone {
 			same++
 		} else if j.OneZone {
-			w.breakf("wrong_place: %s not in one zone", t.name)
+			w.violationf("wrong_place: %s not in one zone", t.name)
 		}
 	}
 	if j.Spread && same > (j.Tasks+1)/2 {
-		w.breakf("wrong_place: %s not spread", t.name)
+		w.violationf("wrong_place: %s not spread", t.name)
 	}
 	w.taskWorker[t.name] = m
 	t.active = true
@@ -115,7 +115,7 @@
 	}
 	for _, team := range w.settings.Deployment.Teams {
 		if team.Name == j.Team && w.teamCores[j.Team] > team.CPUsMax+1e-6 {
-			w.breakf("quota: %s uses %g of %g", j.Team, w.teamCores[j.Team], team.CPUsMax)
+			w.violationf("quota: %s uses %g of %g", j.Team, w.teamCores[j.Team], team.CPUsMax)
 		}
 		if team.Name == j.Team && w.teamCores[j.Team]+j.Cores > team.CPUsMax {
 			w.recordEventLocked(j.Team + " is at its limit")
@@ -168,7 +168,7 @@
 	}
 }
 
-// checkLease ends the session when no heartbeat has been answered for too long.
+// checkLease ends the session if no heartbeat was answered for the length of the lease.
 func (m *simWorker) checkLease(now time.Time) {
 	if now.Sub(m.lastAcknowledged).Seconds() > m.w.settings.Deployment.Workers.LeaseS {
 		for _, t := range m.tasks {
@@ -185,13 +185,13 @@
 	}
 }
 
-// step moves tasks on and checks the lease.
+// step advances the tasks and checks the lease.
 func (m *simWorker) step(now time.Time) {
 	m.checkLease(now)
 	for _, t := range m.tasks {
 		if t.status == protocol.Exited || now.Before(t.nextChange) {
 			if at, ok := m.w.cancelConfirmedAt[t.job.ID]; ok && t.active && now.Sub(at).Seconds() > m.w.settings.Deployment.Workers.CancelS {
-				m.w.breakf("ran_cancelled: %s is on %s", t.name, m.id)
+				m.w.violationf("ran_cancelled: %s is on %s", t.name, m.id)
 			}
 			continue
 		}
@@ -211,7 +211,7 @@
 				t.nextChange = now
 			}
 			if time.Since(m.bootedAt) < 3*time.Second && m.w.quickBoots {
-				m.w.recordEventLocked("work on a machine that has just come up")
+				m.w.recordEventLocked("task started on a newly booted machine")
 			}
 		case protocol.Running:
 			m.stopTask(t)
@@ -220,7 +220,7 @@
 				t.cause = protocol.CauseFailed
 			} else {
 				m.w.done[t.name] = true
-				m.w.taskDone(t.job)
+				m.w.recordTaskEnd(t.job)
 			}
 		case protocol.Checkpointing:
 			m.stopTask(t)
@@ -231,7 +231,7 @@
 
 func (m *simWorker) report() *protocol.Heartbeat {
 	m.sequence++
-	r := &protocol.Heartbeat{Machine: m.id, Address: m.id, MachineType: m.rental.MachineType, Zone: m.rental.Zone, Spot: m.rental.Spot,
+	r := &protocol.Heartbeat{Machine: m.id, Address: m.id, MachineType: m.request.MachineType, Zone: m.request.Zone, Spot: m.request.Spot,
 		Session: m.session, Sequence: m.sequence, FencingToken: m.token, InterruptionSeconds: m.warningS}
 	for _, t := range m.tasks {
 		r.Tasks = append(r.Tasks, protocol.TaskStatus{Task: t.name, Attempt: t.attempt, State: t.status, Cause: t.cause})
@@ -243,31 +243,31 @@
 	w := m.w
 	time.Sleep(time.Duration(1+w.intn(30))*time.Millisecond + w.heartbeatLatency())
 	w.mu.Lock()
-	n, cut, still := w.nodes[to].node, !w.reaches(m.rental.Zone, w.nodes[to]) || m.cannotSend, time.Until(w.nodes[to].pausedUntil)
+	n, cut, pause := w.nodes[to].node, !w.reaches(m.request.Zone, w.nodes[to]) || m.cannotSend, time.Until(w.nodes[to].pausedUntil)
 	held := w.heldHeartbeats > 0 && w.random.IntN(w.heldHeartbeats) == 0
 	late := time.Duration(4+w.random.IntN(40)) * time.Second
-	if still > 4*time.Second { // it waits in the socket of a paused process
-		held, late = true, still
+	if pause > 4*time.Second { // it waits in the socket of a paused process
+		held, late = true, pause
 	}
 	if !cut {
 		w.copyHeartbeat(r, to)
 	}
 	w.mu.Unlock()
 	status, orders, answerTo := 0, protocol.HeartbeatResponse{}, ""
-	trace := tracedHeartbeat{sentAt: sent, to: w.nodes[to].name, sequence: r.Sequence, fate: heartbeatDelivered}
+	trace := tracedHeartbeat{sentAt: sent, to: w.nodes[to].name, sequence: r.Sequence, outcome: heartbeatDelivered}
 	switch {
 	case cut:
-		trace.fate = heartbeatCutOff
+		trace.outcome = heartbeatCutOff
 	case held:
-		trace.fate, trace.lost = heartbeatHeldUp, true
+		trace.outcome, trace.lost = heartbeatDelayed, true
 		trace.renews = n != nil && n.mayAnswerMachine(m.id)
 	case n == nil:
-		trace.fate = heartbeatRefused
+		trace.outcome = heartbeatRefused
 	}
 	var answered time.Time
-	holds := false    // who answers holds the machine's shard
-	relayed := false  // the answer is the holder's, by way of another controller
-	if held && !cut { // delivered, but so late that nobody waits for the answer
+	holds := false    // the answering controller holds the machine's shard
+	relayed := false  // the answer is the holder's, relayed by another controller
+	if held && !cut { // delivered too late for the worker to wait for the answer
 		w.spawn(func() {
 			time.Sleep(late)
 			if n := w.node(to); n != nil && w.ctx.Err() == nil {
@@ -276,23 +276,23 @@
 		})
 		time.Sleep(4 * time.Second)
 	} else if n != nil && !cut {
-		time.Sleep(max(still, 0))
+		time.Sleep(max(pause, 0))
 		answer := n.Heartbeat(r)
 		status, orders, answerTo = answer.Status, answer.Response, answer.RedirectTo
 		answered, holds, relayed = time.Now(), n.holdsMachine(m.id), answer.RelayedTo != ""
 		time.Sleep(time.Duration(1+w.intn(30))*time.Millisecond + w.heartbeatLatency())
 		if w.chance(w.heartbeatAnswers) || w.losesRenewal(m.id, status) { // the answer is lost
 			time.Sleep(4 * time.Second)
-			trace.fate, trace.renews = heartbeatAnswerLost, status == 200
+			trace.outcome, trace.renews = heartbeatAnswerLost, status == 200
 			trace.lost = status == 200 || status == 421
 			status = 0
 		}
 	}
 	w.mu.Lock()
 	defer func() { m.trace.add(trace) }() // under the world's lock
-	if stands := time.Until(w.nodes[to].pausedUntil); stands > 0 && status != 0 {
-		w.mu.Unlock() // the answer was made up and has not left
-		time.Sleep(min(stands, 4*time.Second))
+	if pause := time.Until(w.nodes[to].pausedUntil); pause > 0 && status != 0 {
+		w.mu.Unlock() // the answer was created but not sent
+		time.Sleep(min(pause, 4*time.Second))
 		w.mu.Lock()
 	}
 	defer w.mu.Unlock()
@@ -300,7 +300,7 @@
 		return
 	}
 	if m.cannotReceive && status == 200 {
-		w.recordEventLocked("report answered that a deaf machine sent")
+		w.recordEventLocked("heartbeat answered whose sender can't receive")
 	}
 	if m.cannotReceive || time.Since(sent) > 4*time.Second {
 		status = 0
@@ -309,7 +309,7 @@
 	switch {
 	case status == 200:
 		if m.leaseEpoch != epoch || orders.FencingToken < m.token {
-			trace.fate = heartbeatAnswerDropped
+			trace.outcome = heartbeatAnswerDropped
 			return
 		}
 		if !holds && !relayed && orders.FencingToken > m.token && m.token > 0 {
@@ -330,7 +330,7 @@
 				orders.Commands = nil
 			}
 		}
-		m.carryOut(orders.Commands, answered)
+		m.execute(orders.Commands, answered)
 	case status == 421 && answerTo != "" && answerTo != w.nodes[to].name:
 		for i, o := range w.nodes {
 			if o.name == answerTo {
@@ -344,8 +344,7 @@
 	}
 }
 
-// losesRenewal tells whether an answer that would renew a worker's lease is one of
-// those to be lost.
+// losesRenewal reports whether an answer that would renew a worker's lease is to be lost.
 func (w *world) losesRenewal(machine string, status int) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -356,9 +355,9 @@
 	return true
 }
 
-// carryOut carries out orders that were made at a time; the world's lock is
-// held.
-func (m *simWorker) carryOut(orders []protocol.Command, made time.Time) {
+// execute executes commands that were created at the given time; the caller holds the
+// world's lock.
+func (m *simWorker) execute(orders []protocol.Command, made time.Time) {
 	for _, o := range orders {
 		t := m.tasks[o.Task]
 		switch o.Verb {
