--- a/internal/coordination/boot_queue.go
+++ b/internal/coordination/boot_queue.go
@@ -18,9 +18,9 @@
 	// noCapacityDelay is how long a kind of machine that the cloud has none of
 	// is not requested again.
 	noCapacityDelay = 15 * time.Second
-	// maxBootTimes is after how many times its type's boot time a machine is
+	// maxBootTimeFactor is after how many times its type's boot time a machine is
 	// not counted on any longer.
-	maxBootTimes = 3
+	maxBootTimeFactor = 3
 )
 
 // bootingMachine is a machine that boots for a shard, or that is to be
@@ -121,7 +121,7 @@
 // counted on any longer.
 func (l *leadership) removeLateBooting(now time.Time, bootTime func(machineType string) time.Duration) {
 	l.removeBooting(func(booting *bootingMachine) bool {
-		return booting.id != "" && now.Sub(booting.since) > maxBootTimes*bootTime(booting.kind.MachineType)
+		return booting.id != "" && now.Sub(booting.since) > maxBootTimeFactor*bootTime(booting.kind.MachineType)
 	})
 }
 
--- a/internal/coordination/booting.go
+++ b/internal/coordination/booting.go
@@ -16,17 +16,17 @@
 	for _, request := range requests {
 		counts[request.Kind] += request.Count
 	}
-	for kind, batches := range s.boots {
+	for kind, batches := range s.bootBatches {
 		batches = dropOldest(batches, countMachines(batches)-counts[kind])
 		if len(batches) == 0 {
-			delete(s.boots, kind)
+			delete(s.bootBatches, kind)
 		} else {
-			s.boots[kind] = batches
+			s.bootBatches[kind] = batches
 		}
 	}
 	for kind, count := range counts {
-		if added := count - countMachines(s.boots[kind]); added > 0 {
-			s.boots[kind] = append(s.boots[kind], bootBatch{added, now})
+		if added := count - countMachines(s.bootBatches[kind]); added > 0 {
+			s.bootBatches[kind] = append(s.bootBatches[kind], bootBatch{added, now})
 		}
 	}
 	s.booting = requests
@@ -60,7 +60,7 @@
 // can start would count as on time.
 func (s *shard) remainingBootSeconds(request machineRequest, bootSeconds float64, now time.Time) float64 {
 	totalSeconds, count := 0.0, 0
-	for _, batch := range s.boots[request.Kind] {
+	for _, batch := range s.bootBatches[request.Kind] {
 		totalSeconds += float64(batch.count) * max(0, bootSeconds-now.Sub(batch.requestedAt).Seconds())
 		count += batch.count
 	}
--- a/internal/coordination/drain.go
+++ b/internal/coordination/drain.go
@@ -25,17 +25,17 @@
 			continue
 		}
 		for _, attempt := range m.attempts {
-			if m.cordoned || p.mustSaveNow(attempt) {
+			if m.cordoned || p.mustCheckpointNow(attempt) {
 				attempt.requestStop(attempt.job.spec.CheckpointSeconds)
 			}
 		}
 	}
 }
 
-// mustSaveNow reports whether an attempt on a reclaimed machine has to be
+// mustCheckpointNow reports whether an attempt on a reclaimed machine has to be
 // stopped now to save a checkpoint before the machine is taken away. The stop
 // order waits for a heartbeat, which may be late.
-func (p *planner) mustSaveNow(a *taskAttempt) bool {
+func (p *planner) mustCheckpointNow(a *taskAttempt) bool {
 	spec := &a.job.spec
 	if spec.CheckpointIntervalSeconds <= 0 {
 		return false
--- a/internal/coordination/job.go
+++ b/internal/coordination/job.go
@@ -101,7 +101,7 @@
 // isStartable reports whether nothing but a lack of capacity or quota keeps the
 // job's tasks from being placed.
 func (j *job) isStartable() bool {
-	return !j.unconfirmed && !j.blocked && !j.migrating && !j.ended && !j.isLeaving()
+	return !j.unconfirmed && !j.blocked && !j.migrating && !j.ended && !j.isDraining()
 }
 
 // pendingTasks counts tasks that are neither completed nor placed.
--- a/internal/coordination/job_migration.go
+++ b/internal/coordination/job_migration.go
@@ -13,10 +13,10 @@
 	"reedtrack/internal/storage"
 )
 
-// minMigrationGain is how many times higher the load of a job's shard has to be
+// minMigrationLoadRatio is how many times higher the load of a job's shard has to be
 // than that of the target with the job added, so that jobs don't move back and
 // forth between shards of similar load.
-const minMigrationGain = 1.2
+const minMigrationLoadRatio = 1.2
 
 // noMigrationTarget is the target of a migrating job whose record has changed:
 // its copy will show where the job is.
@@ -105,7 +105,7 @@
 // selectMigration selects a job of a shard and the shard that will run it
 // sooner; no job if there is none.
 func (n *Node) selectMigration(s *shard, now time.Time) (*job, int) {
-	if j, target := n.selectMigrationToRoom(s, now); j != nil {
+	if j, target := n.selectMigrationToSpareCapacity(s, now); j != nil {
 		return j, target
 	}
 	return n.selectMigrationByLoad(s, now)
@@ -143,7 +143,7 @@
 	// The demand and capacity of shards are known from records and statuses
 	// of a while ago: a job that has just been received is not moved on.
 	const minHeartbeats = 2
-	return now.Sub(j.receivedAt) >= n.heartbeats(minHeartbeats)
+	return now.Sub(j.receivedAt) >= n.heartbeatIntervals(minHeartbeats)
 }
 
 // selectMigrationTarget selects the shard that will run a job sooner than its
@@ -161,7 +161,7 @@
 			best, lowest = i, load
 		}
 	}
-	return best, best >= 0 && lowest*minMigrationGain < summary.shards[s.index].load(0)
+	return best, best >= 0 && lowest*minMigrationLoadRatio < summary.shards[s.index].load(0)
 }
 
 // isShardFull reports whether a shard's record has no room for more machines
--- a/internal/coordination/leaving_own_room_test.go
+++ b/internal/coordination/leaving_own_room_test.go
@@ -8,10 +8,10 @@
 	"reedtrack/internal/storage"
 )
 
-// leavingJob returns a controller with a job of five tasks that is held back to leave for
+// newDrainingJob returns a controller with a job of five tasks that is held back to leave for
 // room for four of them, while two run on a machine of its own shard, which is full.
-func leavingJob() (*waitingNode, *machine) {
-	w := newWaitingNode(spotRoom())
+func newDrainingJob() (*waitingNode, *machine) {
+	w := newWaitingNode(spotCapacity())
 	w.shard.setGrant(storage.Grant{Machines: []storage.MachineLease{{Machine: "m1", MachineType: "small", Zone: "a", FencingToken: 2}}},
 		func(string) (placement.Resources, bool) { return placement.Resources{6, 0, 16}, true }, w.now)
 	m := w.shard.machines["m1"]
@@ -21,7 +21,7 @@
 		w.shard.place(w.job, w.job.takePendingTask(), m).startedAt = w.now
 	}
 	w.job.waitReason = waitsForMachine
-	w.updateLeaving(w.shard, w.roomElsewhere(w.shard, w.now), w.now)
+	w.updateDrainingJobs(w.shard, w.findMigrationTargets(w.shard, w.now), w.now)
 	return w, m
 }
 
@@ -29,16 +29,16 @@
 func (w *waitingNode) endTask(attempt *taskAttempt) {
 	w.shard.completeTask(w.job, attempt.key.task)
 	w.shard.dropAttempt(attempt)
-	w.shard.room = []machineRoom{{Kind: attempt.machine.kind(), Free: attempt.machine.freeCapacity()}}
+	w.shard.spareCapacity = []spareCapacity{{Kind: attempt.machine.kind(), Free: attempt.machine.freeCapacity()}}
 }
 
 // A job that is held back stayed as soon as one of its own tasks ended, since that left
 // room in its shard: another task took its place, and the job waited anew, again and
 // again, beside room for all of it (issue 46: wk-000021 in a trial, "job leaving" and "job
 // stays" four times in 90 s, room for four tasks in another shard all the while).
-func TestOwnTasksThatEndDoNotKeepJob(t *testing.T) {
-	w, m := leavingJob()
-	if !w.job.isLeaving() {
+func TestEndedTasksDoNotCancelDraining(t *testing.T) {
+	w, m := newDrainingJob()
+	if !w.job.isDraining() {
 		t.Fatal("not held back")
 	}
 	for _, running := range []int{1, 0} {
@@ -46,28 +46,28 @@
 			w.endTask(attempt)
 			break
 		}
-		w.updateLeaving(w.shard, w.roomElsewhere(w.shard, w.now), w.now)
-		if !w.job.isLeaving() {
+		w.updateDrainingJobs(w.shard, w.findMigrationTargets(w.shard, w.now), w.now)
+		if !w.job.isDraining() {
 			t.Fatalf("stays with %d running", running)
 		}
 	}
-	if target, reason := w.roomElsewhere(w.shard, w.now).selectFor(w.job); reason != stayNot || target != 1 {
+	if target, reason := w.findMigrationTargets(w.shard, w.now).selectTarget(w.job); reason != noStayReason || target != 1 {
 		t.Errorf("stays: %s", reason)
 	}
 }
 
 // It stays once its own shard takes as many of its waiting tasks as the room elsewhere.
-func TestJobStaysForAsMuchRoomOfItsOwn(t *testing.T) {
+func TestEqualCapacityInOwnShardCancelsDraining(t *testing.T) {
 	for name, adjust := range map[string]func(w *waitingNode){
 		"room for one elsewhere": func(w *waitingNode) { w.status.Shards[0].Room[0].Free = placement.Resources{3, 0, 2} },
 		"one task waits":         func(w *waitingNode) { w.job.markDone(2); w.job.markDone(3) },
 	} {
-		w, m := leavingJob()
+		w, m := newDrainingJob()
 		adjust(w)
 		attempt := m.attempts[taskKey{"wk-1", 0}]
 		w.endTask(attempt)
-		w.updateLeaving(w.shard, w.roomElsewhere(w.shard, w.now), w.now)
-		if w.job.isLeaving() {
+		w.updateDrainingJobs(w.shard, w.findMigrationTargets(w.shard, w.now), w.now)
+		if w.job.isDraining() {
 			t.Errorf("%s: held back", name)
 		}
 	}
@@ -76,19 +76,19 @@
 // Room on a machine of its own shard kept a job there that may not use it (issue 46:
 // wk-000045 in a trial, its last task waited beside 2 free cores where a copy of its own
 // start may arrive, and one in another shard).
-func TestOwnRoomThatJobMayNotUseDoesNotKeepIt(t *testing.T) {
-	w, m := leavingJob()
-	w.job.leavingUntil = w.now.Add(-w.heartbeats(1))
-	w.job.stay(stayTasksRun, w.now.Add(-w.heartbeats(leavingHeartbeats)))
-	w.shard.room = []machineRoom{{Kind: m.kind(), Free: placement.Resources{3, 0, 8}}}
-	w.updateLeaving(w.shard, w.roomElsewhere(w.shard, w.now), w.now)
-	if !w.job.isLeaving() {
+func TestUnusableCapacityDoesNotCancelDraining(t *testing.T) {
+	w, m := newDrainingJob()
+	w.job.leavingUntil = w.now.Add(-w.heartbeatIntervals(1))
+	w.job.cancelDraining(stayDrainTimeout, w.now.Add(-w.heartbeatIntervals(drainWaitHeartbeats)))
+	w.shard.spareCapacity = []spareCapacity{{Kind: m.kind(), Free: placement.Resources{3, 0, 8}}}
+	w.updateDrainingJobs(w.shard, w.findMigrationTargets(w.shard, w.now), w.now)
+	if !w.job.isDraining() {
 		t.Error("stays beside room that the last plan could not use")
 	}
-	w.job.stay(stayTasksRun, w.now.Add(-w.heartbeats(leavingHeartbeats)))
+	w.job.cancelDraining(stayDrainTimeout, w.now.Add(-w.heartbeatIntervals(drainWaitHeartbeats)))
 	w.job.waitReason = waitsForShare
-	w.updateLeaving(w.shard, w.roomElsewhere(w.shard, w.now), w.now)
-	if w.job.isLeaving() {
+	w.updateDrainingJobs(w.shard, w.findMigrationTargets(w.shard, w.now), w.now)
+	if w.job.isDraining() {
 		t.Error("leaves though it only lacks a share")
 	}
 }
--- a/internal/coordination/migration_to_room_test.go
+++ b/internal/coordination/migration_to_room_test.go
@@ -22,7 +22,7 @@
 }
 
 // newWaitingNode returns one whose other shard has room on one machine.
-func newWaitingNode(room machineRoom) *waitingNode {
+func newWaitingNode(room spareCapacity) *waitingNode {
 	w := newWorld(1, nil)
 	n := New(w.settings, w.settings.Defaults(), nil, nil, nil, nil)
 	n.records.SetMachineTypes(simMachineTypes)
@@ -39,14 +39,14 @@
 	j.spec = protocol.Job{ID: j.id, Team: "red", Type: "array", Tasks: 2, Cores: 3, MemoryGB: 2, EstimatedSeconds: 9, Spot: true}
 	s.jobs, s.queue = map[string]*job{}, []*job{j}
 	s.addJob(j)
-	status := &Status{From: "n1", receivedAt: now, Shards: []ShardStatus{{Index: 1, FencingToken: n.records.Shards[1].Value.FencingToken, Room: []machineRoom{room}}}}
+	status := &Status{From: "n1", receivedAt: now, Shards: []ShardStatus{{Index: 1, FencingToken: n.records.Shards[1].Value.FencingToken, Room: []spareCapacity{room}}}}
 	n.peerStatus["n1"] = status
 	return &waitingNode{n, s, j, status, now}
 }
 
-// spotRoom is room for four tasks of three cores on a spot machine.
-func spotRoom() machineRoom {
-	return machineRoom{Kind: machineKind{"big", "a", true}, Free: placement.Resources{12, 0, 24}}
+// spotCapacity is room for four tasks of three cores on a spot machine.
+func spotCapacity() spareCapacity {
+	return spareCapacity{Kind: machineKind{"big", "a", true}, Free: placement.Resources{12, 0, 24}}
 }
 
 // A job that has waited in a shard without room goes where a machine has room that it
@@ -55,7 +55,7 @@
 // (`shard 2 ... uses 0 wants 6, no machine; shard 1 host-000013 big used 3/16`): jobs
 // moved only when the cloud had refused every kind of machine at that moment, and it was
 // asked again every 15 s.
-func TestJobGoesWhereRoomIs(t *testing.T) {
+func TestJobMigratesToSpareCapacity(t *testing.T) {
 	cases := []struct {
 		name   string
 		adjust func(w *waitingNode)
@@ -77,12 +77,12 @@
 			w.job.need[placement.Cards] = 1
 			w.status.Shards[0].Room[0].Free[placement.Cards] = 2
 		}, true},
-		{"its shard has room, and lacks a share", func(w *waitingNode) { w.shard.room = []machineRoom{spotRoom()} }, false},
+		{"its shard has room, and lacks a share", func(w *waitingNode) { w.shard.spareCapacity = []spareCapacity{spotCapacity()} }, false},
 		{"its team is at its limit", func(w *waitingNode) { w.shard.used["red"] = storage.Resources{Cores: 12} }, false},
 		{"a task of it runs", func(w *waitingNode) { w.job.attempts[0] = &taskAttempt{job: w.job, startedAt: w.now} }, false},
 		{"it is unconfirmed", func(w *waitingNode) { w.job.unconfirmed = true }, false},
 		{"it has just begun to wait", func(w *waitingNode) { w.job.unplacedSince = w.now.Add(-time.Second) }, false},
-		{"another has just gone", func(w *waitingNode) { w.shard.roomCheckedAt = w.now.Add(-time.Second) }, false},
+		{"another has just gone", func(w *waitingNode) { w.shard.migrationCheckedAt = w.now.Add(-time.Second) }, false},
 		{"a former version tells no room", func(w *waitingNode) { w.status.Shards[0].Room = nil }, false},
 		{"the status is old", func(w *waitingNode) { w.status.receivedAt = w.now.Add(-statusValidity) }, false},
 		{"the status is a former holder's", func(w *waitingNode) { w.status.Shards[0].FencingToken-- }, false},
@@ -90,9 +90,9 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			w := newWaitingNode(spotRoom())
+			w := newWaitingNode(spotCapacity())
 			c.adjust(w)
-			j, target := w.selectMigrationToRoom(w.shard, w.now)
+			j, target := w.selectMigrationToSpareCapacity(w.shard, w.now)
 			if goes := j == w.job && target == 1; goes != c.goes {
 				t.Errorf("goes %v (to shard %d)", goes, target)
 			}
@@ -101,10 +101,10 @@
 }
 
 // A gang stays: whether all its tasks find room elsewhere is not known.
-func TestGangStaysWhereItIs(t *testing.T) {
-	w := newWaitingNode(spotRoom())
+func TestGangIsNotMigrated(t *testing.T) {
+	w := newWaitingNode(spotCapacity())
 	w.job.spec.Type = protocol.JobTypeGang
-	if j, _ := w.selectMigrationToRoom(w.shard, w.now); j != nil {
+	if j, _ := w.selectMigrationToSpareCapacity(w.shard, w.now); j != nil {
 		t.Error("goes")
 	}
 }
@@ -113,28 +113,28 @@
 // wk-000035, seven tasks, had two of them on small machines and waited for over 60 s with
 // the others, while a machine of another shard had 12 of 16 cores free: a job with tasks
 // that run did not move at all, and its shard never ran out of them.
-func TestJobWithRunningTasksLeaves(t *testing.T) {
-	w := newWaitingNode(spotRoom())
+func TestJobWithRunningTasksDrainsThenMigrates(t *testing.T) {
+	w := newWaitingNode(spotCapacity())
 	attempt := &taskAttempt{job: w.job, startedAt: w.now}
 	w.job.attempts[0], w.job.unfinishedAttempts = attempt, 1
-	w.updateLeaving(w.shard, w.roomElsewhere(w.shard, w.now), w.now)
-	if !w.job.isLeaving() || w.job.isStartable() {
+	w.updateDrainingJobs(w.shard, w.findMigrationTargets(w.shard, w.now), w.now)
+	if !w.job.isDraining() || w.job.isStartable() {
 		t.Fatal("more of its tasks are placed here")
 	}
-	if j, _ := w.selectMigrationToRoom(w.shard, w.now); j != nil {
+	if j, _ := w.selectMigrationToSpareCapacity(w.shard, w.now); j != nil {
 		t.Fatal("goes while a task runs")
 	}
-	w.shard.roomCheckedAt = time.Time{}
+	w.shard.migrationCheckedAt = time.Time{}
 	delete(w.job.attempts, 0)
 	w.job.unfinishedAttempts = 0
 	w.shard.queue = nil // nothing of it is placed, so it is not in the queue
-	if j, target := w.selectMigrationToRoom(w.shard, w.now); j != w.job || target != 1 {
+	if j, target := w.selectMigrationToSpareCapacity(w.shard, w.now); j != w.job || target != 1 {
 		t.Error("stays though its last task has ended")
 	}
 }
 
 // A job is held back only for a reason that lasts, and only for a while.
-func TestLeavingJobMayStay(t *testing.T) {
+func TestDrainingIsBounded(t *testing.T) {
 	hold := 18 * 3 * time.Second // maxLeavingHeartbeats heartbeats of the simulated workers
 	cases := []struct {
 		name   string
@@ -150,33 +150,33 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			w := newWaitingNode(spotRoom())
+			w := newWaitingNode(spotCapacity())
 			w.job.attempts[0], w.job.unfinishedAttempts = &taskAttempt{job: w.job, startedAt: w.now}, 1
 			c.adjust(w)
-			w.updateLeaving(w.shard, w.roomElsewhere(w.shard, w.now), w.now)
-			if w.job.isLeaving() != c.leaves {
-				t.Fatalf("leaves %v", w.job.isLeaving())
+			w.updateDrainingJobs(w.shard, w.findMigrationTargets(w.shard, w.now), w.now)
+			if w.job.isDraining() != c.leaves {
+				t.Fatalf("leaves %v", w.job.isDraining())
 			}
 			if !c.leaves {
 				return
 			}
 			w.status.receivedAt = w.now.Add(hold + time.Second)
-			w.updateLeaving(w.shard, w.roomElsewhere(w.shard, w.now.Add(hold+time.Second)), w.now.Add(hold+time.Second))
-			if w.job.isLeaving() {
+			w.updateDrainingJobs(w.shard, w.findMigrationTargets(w.shard, w.now.Add(hold+time.Second)), w.now.Add(hold+time.Second))
+			if w.job.isDraining() {
 				t.Error("held back for longer than its tasks were to run")
 			}
-			if w.job.mayLeave(config.Seconds(12), hold, w.now.Add(hold+2*time.Second)) {
+			if w.job.canStartDraining(config.Seconds(12), hold, w.now.Add(hold+2*time.Second)) {
 				t.Error("held back again at once")
 			}
 		})
 	}
 	t.Run("the room is gone", func(t *testing.T) {
-		w := newWaitingNode(spotRoom())
+		w := newWaitingNode(spotCapacity())
 		w.job.attempts[0], w.job.unfinishedAttempts = &taskAttempt{job: w.job, startedAt: w.now}, 1
-		w.updateLeaving(w.shard, w.roomElsewhere(w.shard, w.now), w.now)
+		w.updateDrainingJobs(w.shard, w.findMigrationTargets(w.shard, w.now), w.now)
 		w.status.Shards[0].Room = nil
-		w.updateLeaving(w.shard, w.roomElsewhere(w.shard, w.now), w.now)
-		if w.job.isLeaving() || !w.job.isStartable() {
+		w.updateDrainingJobs(w.shard, w.findMigrationTargets(w.shard, w.now), w.now)
+		if w.job.isDraining() || !w.job.isStartable() {
 			t.Error("held back for nothing")
 		}
 	})
@@ -184,15 +184,15 @@
 
 // Two shards whose demand stays as it is don't send a job back and forth: it goes at most
 // once in the time for which it has to have waited.
-func TestMovesOfAJobAreBounded(t *testing.T) {
-	w := newWaitingNode(spotRoom())
+func TestMigrationRateIsBounded(t *testing.T) {
+	w := newWaitingNode(spotCapacity())
 	w.job.unplacedSince = w.now // it has just arrived
 	moves := 0
 	const rounds = 600 // of a tenth of a second
 	for round := range rounds {
 		now := w.now.Add(time.Duration(round) * time.Second / 10)
 		w.status.receivedAt = now
-		if j, _ := w.selectMigrationToRoom(w.shard, now); j != nil {
+		if j, _ := w.selectMigrationToSpareCapacity(w.shard, now); j != nil {
 			moves++
 			w.job.unplacedSince, w.job.receivedAt = now, now // and back again
 		}
@@ -205,7 +205,7 @@
 // Guards against a job that is held back to leave and turns away the machine which was
 // requested for it: it waited for over 90 s, held back, waiting and held back again, since
 // its tasks ran for longer than they were to.
-func TestLeavingJobKeepsRequestedMachine(t *testing.T) {
+func TestDrainingJobKeepsRequestedMachine(t *testing.T) {
 	n, s, input, report := detectionShard(1)
 	now := time.Now()
 	report(now, "m0", "m1")
--- a/internal/coordination/placement.go
+++ b/internal/coordination/placement.go
@@ -114,19 +114,19 @@
 		placed := 0
 		if j.spec.IsGang() {
 			if allowed < pending || len(j.attempts) > 0 {
-				s.noteUnplaced(j, allowed < pending, p.now)
+				s.recordWaitReason(j, allowed < pending, p.now)
 				continue // a gang starts as a whole, once its last attempt has ended everywhere
 			}
 			placed = p.placeGang(j, allowed, candidates)
 		} else {
 			placed = len(p.placeTasks(j, allowed, candidates))
 		}
-		s.noteUnplaced(j, placed >= allowed, p.now)
+		s.recordWaitReason(j, placed >= allowed, p.now)
 		unplaced = p.appendUnplaced(unplaced, j, allowed-placed)
 	}
 	s.capacityFreed = false
-	p.leaving = p.leavingTasks()
-	s.updateSmallestTasks(p.leaving)
+	p.drainingTasks = p.collectDrainingTasks()
+	s.updateSmallestTasks(p.drainingTasks)
 	return unplaced
 }
 
@@ -143,12 +143,12 @@
 	return append(unplaced, unplacedTasks{j, count})
 }
 
-// leavingTasks lists the pending tasks of jobs that are held back to leave the shard, after
+// collectDrainingTasks lists the pending tasks of jobs that are held back to leave the shard, after
 // those that found no machine. They are placed on none. But a machine that was requested
 // for them before may come, and take them, long before their job's last attempt has ended.
-func (p *planner) leavingTasks() []unplacedTasks {
+func (p *planner) collectDrainingTasks() []unplacedTasks {
 	var leaving []unplacedTasks
-	isLeaving := func(j *job) bool { return j.isLeaving() && !j.migrating && !j.ended }
+	isLeaving := func(j *job) bool { return j.isDraining() && !j.migrating && !j.ended }
 	for _, j := range sortedBySubmission(p.shard.jobs, isLeaving) {
 		pending := j.pendingTasks()
 		j.addNeed(p.shard.desired, pending)
--- a/internal/coordination/plan.go
+++ b/internal/coordination/plan.go
@@ -101,9 +101,9 @@
 	machines []*machine // of the shard, by name: the order in which equal candidates are taken
 	now      time.Time
 
-	unreported storage.Resources            // what may run on machines that have not reported yet
-	claimed    map[string]storage.Resources // by what found no machine, per team
-	leaving    []unplacedTasks              // of jobs that are held back to leave the shard
+	unreported    storage.Resources            // what may run on machines that have not reported yet
+	claimed       map[string]storage.Resources // by what found no machine, per team
+	drainingTasks []unplacedTasks              // of jobs that are held back to leave the shard
 }
 
 // newPlanner returns a planner for one plan of the shard.
@@ -123,12 +123,12 @@
 	if full {
 		unplaced = p.preempt(unplaced)
 	}
-	s.planScaleOut(slices.Concat(unplaced, p.leaving), s.tasksOnReclaimedMachines(p.machines, now), input, now)
+	s.planScaleOut(slices.Concat(unplaced, p.drainingTasks), s.tasksOnReclaimedMachines(p.machines, now), input, now)
 	if full || len(unplaced) > 0 {
 		p.consolidate(unplaced)
 	}
 	p.markMachinesInUse()
-	p.updateRoom()
+	p.updateSpareCapacity()
 }
 
 // markMachinesInUse notes which machines are not idle.
--- a/internal/coordination/plan_bench_test.go
+++ b/internal/coordination/plan_bench_test.go
@@ -13,8 +13,8 @@
 
 var benchSizes = []int{500, 1000, 2000, 5000, 10000}
 
-// atSizes runs a benchmark at each size, without logs.
-func atSizes(b *testing.B, f func(b *testing.B, n int)) {
+// runAtSizes runs a benchmark at each size, without logs.
+func runAtSizes(b *testing.B, f func(b *testing.B, n int)) {
 	slog.SetDefault(slog.New(slog.DiscardHandler))
 	for _, n := range benchSizes {
 		b.Run(fmt.Sprint(n), func(b *testing.B) { f(b, n) })
@@ -63,7 +63,7 @@
 
 // BenchmarkPlan measures a full plan of a full shard.
 func BenchmarkPlan(b *testing.B) {
-	atSizes(b, func(b *testing.B, n int) {
+	runAtSizes(b, func(b *testing.B, n int) {
 		now := time.Now()
 		s, p := busyShard(n, now)
 		s.plan(p, true, now)
@@ -76,7 +76,7 @@
 // BenchmarkHeartbeat measures a heartbeat that frees a task's capacity, with
 // the task that takes its place and the answer.
 func BenchmarkHeartbeat(b *testing.B) {
-	atSizes(b, func(b *testing.B, n int) {
+	runAtSizes(b, func(b *testing.B, n int) {
 		now := time.Now()
 		s, p := busyShard(n, now)
 		s.plan(p, true, now)
@@ -101,7 +101,7 @@
 // machine's first heartbeat to the new holder, with the tasks that are on it,
 // and the first plan.
 func BenchmarkFailover(b *testing.B) {
-	atSizes(b, func(b *testing.B, n int) {
+	runAtSizes(b, func(b *testing.B, n int) {
 		now := time.Now()
 		old, p := busyShard(n, now)
 		old.plan(p, true, now)
@@ -134,7 +134,7 @@
 
 // BenchmarkDetectFailures measures the failure detection of one plan.
 func BenchmarkDetectFailures(b *testing.B) {
-	atSizes(b, func(b *testing.B, n int) {
+	runAtSizes(b, func(b *testing.B, n int) {
 		now := time.Now()
 		w := newWorld(1, nil)
 		node := New(w.settings, w.settings.Defaults(), storage.NewClientWithTransport(nil, 1, 1, 1), simCloud{w}, nil, nil)
--- a/internal/coordination/scale_out.go
+++ b/internal/coordination/scale_out.go
@@ -60,7 +60,7 @@
 		// A late heartbeat most likely still comes. And a machine that has just
 		// been granted is about to report to this holder: without this, others
 		// would be requested in its place for that second.
-		isLate := m.health == failuredetector.Suspect || m.isJustGranted(p.input.heartbeatInterval, now)
+		isLate := m.health == failuredetector.Suspect || m.isRecentlyGranted(p.input.heartbeatInterval, now)
 		isUsable := !m.isExpired() && !m.cordoned && !m.slow && !m.releasing && m.reclaimAt.IsZero()
 		if isLate && isUsable {
 			p.bins = append(p.bins, scaleOutBin{kind: m.kind(), free: m.freeCapacity(), size: m.size})
@@ -68,9 +68,9 @@
 	}
 }
 
-// isJustGranted reports whether a machine was granted under this holder's lease
+// isRecentlyGranted reports whether a machine was granted under this holder's lease
 // so recently that its first heartbeat is not overdue.
-func (m *machine) isJustGranted(heartbeatInterval time.Duration, now time.Time) bool {
+func (m *machine) isRecentlyGranted(heartbeatInterval time.Duration, now time.Time) bool {
 	timing := failuredetector.Timing{HeartbeatInterval: heartbeatInterval}
 	return !m.hasReported() && !m.grantedAt.IsZero() && now.Sub(m.grantedAt) < timing.UnreachableAfter()
 }
--- a/internal/coordination/shard.go
+++ b/internal/coordination/shard.go
@@ -55,7 +55,7 @@
 	// What the leader last answered.
 	booting        []machineRequest
 	bootingVersion uint64
-	boots          map[machineKind][]bootBatch // batches of booting machines, oldest first
+	bootBatches    map[machineKind][]bootBatch // batches of booting machines, oldest first
 
 	// What this controller asks of the leader, as the last plan found it.
 	scaleOut      []machineRequest
@@ -64,10 +64,10 @@
 	suitableKinds []machineKind
 
 	// What the other controllers are told of this shard's machines.
-	stalls        map[string]*shareStall       // shares that no machine can use, by team
-	startable     map[string]storage.Resources // what of desired there are machines for, of teams whose share is stalled
-	room          []machineRoom                // free capacity that no task of the shard takes
-	roomCheckedAt time.Time                    // when it was last looked whether jobs should go to room in another shard
+	stalls             map[string]*shareStall       // shares that no machine can use, by team
+	startable          map[string]storage.Resources // what of desired there are machines for, of teams whose share is stalled
+	spareCapacity      []spareCapacity              // free capacity that no task of the shard takes
+	migrationCheckedAt time.Time                    // when it was last looked whether jobs should go to room in another shard
 
 	// Writes of the grant, see writeGrants.
 	grantWritePending bool      // a write of the grant has not been answered yet
@@ -102,7 +102,7 @@
 		smallestTask: map[string]storage.Resources{},
 		stalls:       map[string]*shareStall{},
 		startable:    map[string]storage.Resources{},
-		boots:        map[machineKind][]bootBatch{},
+		bootBatches:  map[machineKind][]bootBatch{},
 	}
 }
 
--- a/internal/coordination/shard_selection.go
+++ b/internal/coordination/shard_selection.go
@@ -37,7 +37,7 @@
 	demand := demand{team: spec.Team, cores: float64(tasks) * spec.Cores}
 	need := placement.Resources{spec.Cores, spec.GPUs, spec.MemoryGB}
 	if best := n.bestMachineType(spec, need); best >= 0 {
-		demand.machines = float64(tasks) * maxShare(need, clusterstate.SizeOf(n.records.MachineTypes[best]))
+		demand.machines = float64(tasks) * dominantShare(need, clusterstate.SizeOf(n.records.MachineTypes[best]))
 	}
 	return demand
 }
@@ -53,9 +53,9 @@
 	})
 }
 
-// maxShare returns the largest share of a machine that a task needs of any
+// dominantShare returns the largest share of a machine that a task needs of any
 // resource.
-func maxShare(need, size placement.Resources) float64 {
+func dominantShare(need, size placement.Resources) float64 {
 	share := 0.0
 	for resource, total := range size {
 		if total > 0 {
--- a/internal/coordination/share_stall.go
+++ b/internal/coordination/share_stall.go
@@ -28,8 +28,8 @@
 
 // shareStall is a share of a team's quota in a shard that lacks machines.
 type shareStall struct {
-	since   time.Time // since when tasks within the share have had no machine
-	startAt time.Time // when it began to count as stalled; zero: it does not yet
+	since     time.Time // since when tasks within the share have had no machine
+	stalledAt time.Time // when it began to count as stalled; zero: it does not yet
 }
 
 // updateStalls records which shares are stalled, by what the plan found no
@@ -37,7 +37,7 @@
 func (s *shard) updateStalls(withoutMachine map[string]storage.Resources, heartbeatInterval time.Duration, now time.Time) {
 	clear(s.startable)
 	for team, stall := range s.stalls {
-		if stall.isOver(withoutMachine[team], heartbeatInterval, now) {
+		if stall.hasEnded(withoutMachine[team], heartbeatInterval, now) {
 			delete(s.stalls, team)
 		}
 	}
@@ -50,21 +50,21 @@
 		}
 	}
 	for team, stall := range s.stalls {
-		if stall.startAt.IsZero() && now.Sub(stall.since) >= stallHeartbeats*heartbeatInterval {
-			stall.startAt = now
+		if stall.stalledAt.IsZero() && now.Sub(stall.since) >= stallHeartbeats*heartbeatInterval {
+			stall.stalledAt = now
 		}
-		if !stall.startAt.IsZero() {
+		if !stall.stalledAt.IsZero() {
 			s.startable[team] = s.used[team]
 		}
 	}
 }
 
-// isOver reports whether a share is not stalled, or to be tried again. Once it
+// hasEnded reports whether a share is not stalled, or to be tried again. Once it
 // is, that nothing is without a machine shows nothing: no task is within a
 // share that has been returned.
-func (stall *shareStall) isOver(lacking storage.Resources, heartbeatInterval time.Duration, now time.Time) bool {
-	if stall.startAt.IsZero() {
+func (stall *shareStall) hasEnded(lacking storage.Resources, heartbeatInterval time.Duration, now time.Time) bool {
+	if stall.stalledAt.IsZero() {
 		return lacking == (storage.Resources{})
 	}
-	return now.Sub(stall.startAt) >= stallEndHeartbeats*heartbeatInterval
+	return now.Sub(stall.stalledAt) >= stallEndHeartbeats*heartbeatInterval
 }
--- a/internal/coordination/share_stall_test.go
+++ b/internal/coordination/share_stall_test.go
@@ -28,7 +28,7 @@
 // 0 had 3 cores of red's quota, no machine and a job waiting (`shares red 3 uses 0 wants
 // 12`), shard 2 had used up its 3 and had 13 of 16 cores free; neither changed for as
 // long as shard 0 waited for the cloud, since a quota was divided by what was wanted.
-func TestStalledShareCountsForNothing(t *testing.T) {
+func TestStalledShareIsNotStartable(t *testing.T) {
 	now := time.Now()
 	s, input := stalledShard(now)
 	startable := func(after time.Duration) (float64, bool) {
@@ -100,7 +100,7 @@
 	n.records.SetMachineTypes(simMachineTypes)
 	amounts := map[string]storage.Resources{"red": {Cores: 3}, "unknown": {Cores: 1}}
 	kind := machineKind{"big", "a", true}
-	status := Status{From: "n1", Shards: []ShardStatus{{Index: 1, Startable: amounts, Room: []machineRoom{
+	status := Status{From: "n1", Shards: []ShardStatus{{Index: 1, Startable: amounts, Room: []spareCapacity{
 		{kind, placement.Resources{16, 0, 32}},
 		{machineKind{"huge", "a", true}, placement.Resources{1, 0, 1}},
 		{kind, placement.Resources{-1, 0, 1}},
--- a/internal/coordination/status_check.go
+++ b/internal/coordination/status_check.go
@@ -41,7 +41,7 @@
 		maps.DeleteFunc(shardStatus.Startable, func(team string, amount storage.Resources) bool {
 			return n.isInvalid(n.checkStartable(status.From, shardStatus.Index, team, amount))
 		})
-		shardStatus.Room = slices.DeleteFunc(slices.Clone(shardStatus.Room), func(room machineRoom) bool {
+		shardStatus.Room = slices.DeleteFunc(slices.Clone(shardStatus.Room), func(room spareCapacity) bool {
 			return n.isInvalid(n.checkRoom(status.From, shardStatus.Index, room))
 		})
 	}
@@ -80,7 +80,7 @@
 
 // checkRoom returns what is wrong with the room that a shard is said to have, or
 // nil.
-func (n *Node) checkRoom(from string, shard int, room machineRoom) *statusValueError {
+func (n *Node) checkRoom(from string, shard int, room spareCapacity) *statusValueError {
 	size, known := n.records.MachineSize(room.Kind.MachineType)
 	if !known {
 		return &statusValueError{from, shard, "Room", room.Kind.MachineType, reasonUnknown}
--- a/internal/coordination/status_exchange.go
+++ b/internal/coordination/status_exchange.go
@@ -41,7 +41,7 @@
 	// where that is less; Room is free capacity that none of the shard's own tasks
 	// takes. Both are sent once every controller runs a version that knows them.
 	Startable map[string]storage.Resources `cbor:"Startable,omitempty"`
-	Room      []machineRoom                `cbor:"Room,omitempty"`
+	Room      []spareCapacity              `cbor:"Room,omitempty"`
 }
 
 // StatusReply answers a Status; only the leader's says more than that it is up.
@@ -144,7 +144,7 @@
 	}
 	if n.records.ShardCapacityEnabled() {
 		status.Startable = maps.Clone(s.startable)
-		status.Room = slices.Clone(s.room)
+		status.Room = slices.Clone(s.spareCapacity)
 	}
 	for id, j := range s.jobs {
 		if running := len(j.attempts); running > 0 {
--- a/internal/coordination/wait_reason.go
+++ b/internal/coordination/wait_reason.go
@@ -14,10 +14,10 @@
 	waitsForMachine waitReason = "machine" // no machine of the shard has room
 )
 
-// noteUnplaced notes since when tasks of a job have been without a machine, and
+// recordWaitReason notes since when tasks of a job have been without a machine, and
 // why, as a plan has left it. A change of the reason is logged: what an operator
 // needs to know of a job that waits.
-func (s *shard) noteUnplaced(j *job, shareUsedUp bool, now time.Time) {
+func (s *shard) recordWaitReason(j *job, shareUsedUp bool, now time.Time) {
 	reason := waitsForMachine
 	switch {
 	case j.pendingTasks() == 0:
