--- a/internal/coordination/boot_queue.go
+++ b/internal/coordination/boot_queue.go
@@ -12,36 +12,38 @@
 )
 
 const (
-	// scaleOutRetryDelay is how long a scale-out call that was not answered
-	// waits before it is repeated.
+	// scaleOutRetryDelay is the delay before an unanswered scale-out call is
+	// retried.
 	scaleOutRetryDelay = time.Second
-	// noCapacityDelay is how long a kind of machine that the cloud has none of
-	// is not requested again.
+	// noCapacityDelay is the delay before a kind of machine is requested again
+	// after the cloud had no capacity for it.
 	noCapacityDelay = 15 * time.Second
-	// maxBootTimeFactor is after how many times its type's boot time a machine is
-	// not counted on any longer.
+	// maxBootTimeFactor bounds how long a machine may boot, as a multiple of
+	// its type's boot time; after that it is no longer expected.
 	maxBootTimeFactor = 3
 )
 
-// bootingMachine is a machine that boots for a shard, or that is to be
-// requested for it. It is removed once it is granted, has failed or is late.
+// bootingMachine is a machine that is booting for a shard, or that is queued to
+// be requested for it. It is removed once it is granted, has failed or is
+// overdue.
 //
-// Holders send the leader what they lack at every status, so a request must not
-// be queued twice: a status names the version of what boots for the shard that
-// its plan took into account, and receiveStatus drops it if that has changed.
+// Holders repeat their shortage in every status, so the same request must not be
+// queued twice: a status carries the version of the shard's list of booting
+// machines that its plan was based on, and receiveStatus drops the request if
+// the list has changed since.
 type bootingMachine struct {
 	kind         machineKind
 	shard        int
-	id           string // empty until the cloud has answered
+	id           string // empty until the cloud has responded
 	requestID    string
 	since        time.Time
 	batchSize    int
 	callInFlight bool
-	requested    bool // sent at least once: it may have been carried out
+	requested    bool // sent at least once, so the cloud may have executed it
 }
 
-// requestMachines queues a scale-out, in requests of at most what the cloud
-// accepts.
+// requestMachines queues a scale-out, split into requests of at most
+// [protocol.MaxMachinesPerRequest] machines.
 func (l *leadership) requestMachines(shard int, request machineRequest, now time.Time) {
 	if request.Count <= 0 || now.Before(l.noCapacityUntil[request.Kind]) {
 		return
@@ -64,29 +66,31 @@
 	l.bootingVersions[shard]++
 }
 
-// nextRequestID returns an ID for a request to the cloud. The leader's key has
-// another revision under each leader, so no ID is ever used twice.
+// nextRequestID returns a unique ID for a request to the cloud. It contains the
+// revision of the leader key, which differs between leaders, so IDs are never
+// reused.
 func (l *leadership) nextRequestID() string {
 	l.requestCount++
 	return fmt.Sprintf("r-%d-%d", l.revision, l.requestCount)
 }
 
-// bootingVersion counts the changes of what boots for a shard; it starts from
-// the leader key's revision, so that versions of two leaders never match.
+// bootingVersion returns the version of a shard's list of booting machines, which
+// increases with every change. It starts from the leader key's revision, so that
+// versions of two leaders never match.
 func (l *leadership) bootingVersion(shard int) uint64 {
 	return l.revision<<16 + l.bootingVersions[shard]
 }
 
-// addListedBooting adds a machine that boots though this leader has not
-// requested it: an earlier leader has, or a call that was given up. Nobody knows
-// for which shard, so they are spread over all.
+// addListedBooting adds a booting machine that this leader has no request for:
+// an earlier leader requested it, or a call that was abandoned. The shard that it
+// was requested for is unknown, so such machines are distributed over all shards.
 func (l *leadership) addListedBooting(machine *cloudMachine, shardCount int, now time.Time) {
 	shard := len(l.booting) % shardCount
 	l.booting = append(l.booting, &bootingMachine{kind: machine.kind, shard: shard, id: machine.id, since: now})
 	l.bootingVersions[shard]++
 }
 
-// removeBooting removes matching machines from those that boot.
+// removeBooting removes matching machines from the booting machines.
 func (l *leadership) removeBooting(matches func(machine *bootingMachine) bool) {
 	l.booting = slices.DeleteFunc(l.booting, func(machine *bootingMachine) bool {
 		if matches(machine) {
@@ -97,7 +101,7 @@
 	})
 }
 
-// removeGranted removes machines that are granted: they have booted.
+// removeGranted removes granted machines from the booting machines.
 func (l *leadership) removeGranted(machines []machineGranted) {
 	granted := map[string]bool{}
 	for _, machine := range machines {
@@ -117,19 +121,19 @@
 	}
 }
 
-// removeLateBooting removes machines that are late to boot: they are not
-// counted on any longer.
+// removeLateBooting removes machines whose boot is overdue: they are no longer
+// expected.
 func (l *leadership) removeLateBooting(now time.Time, bootTime func(machineType string) time.Duration) {
 	l.removeBooting(func(booting *bootingMachine) bool {
 		return booting.id != "" && now.Sub(booting.since) > maxBootTimeFactor*bootTime(booting.kind.MachineType)
 	})
 }
 
-// scaleOutCall returns the call that requests all booting machines of first's
-// request.
+// scaleOutCall returns the call that requests all booting machines that share
+// first's request ID.
 //
-// The request stays the same until it is answered: the cloud carries out one
-// request ID once. The count is that of the first attempt.
+// Retries send the same request, with the count of the first attempt, until it
+// is answered: the cloud executes each request ID only once.
 func (n *Node) scaleOutCall(leadership *leadership, first *bootingMachine, now time.Time) func(context.Context) {
 	var batch []*bootingMachine
 	for _, machine := range leadership.booting {
@@ -159,7 +163,7 @@
 	}
 }
 
-// retryScaleOut lets a request be sent again after a while.
+// retryScaleOut allows a request to be sent again after scaleOutRetryDelay.
 func (n *Node) retryScaleOut(batch []*bootingMachine) {
 	time.AfterFunc(scaleOutRetryDelay, func() {
 		n.mu.Lock()
@@ -170,8 +174,8 @@
 	})
 }
 
-// receiveMachines applies the cloud's answer to a request: the names of the
-// machines that boot, fewer than requested if it has no more of the kind.
+// receiveMachines applies the cloud's response to a request: the names of the
+// booting machines, fewer than requested if it has no more capacity of the kind.
 func (l *leadership) receiveMachines(request protocol.MachineRequest, batch []*bootingMachine, names []string, now time.Time) {
 	kind := machineKind{request.MachineType, request.Zone, request.Spot}
 	incomplete := len(names) < len(batch)
@@ -186,8 +190,8 @@
 			l.addStarting(machine.id, machine.kind, now)
 		}
 	}
-	// A kind that the cloud has none of is not requested over and over while
-	// requests for other machines wait.
+	// Queued requests for a kind without capacity are dropped, so that they don't
+	// delay requests for other machines.
 	l.removeBooting(func(machine *bootingMachine) bool {
 		if machine.id != "" {
 			return false
--- a/internal/coordination/booting.go
+++ b/internal/coordination/booting.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// bootBatch is a number of machines of one kind that were requested together.
+// bootBatch counts machines of one kind that were requested together.
 type bootBatch struct {
 	count       int
 	requestedAt time.Time
 }
 
-// setBooting replaces the list of machines that boot for the shard, and notes
-// since when: the leader sends only counts. Machines that left the list were
-// the oldest.
+// setBooting replaces the counts of the shard's booting machines. The leader
+// sends only counts, so the time at which a count grew is taken as the request
+// time, and a lower count removes the oldest machines.
 func (s *shard) setBooting(requests []machineRequest, now time.Time) {
 	counts := map[machineKind]int{}
 	for _, request := range requests {
@@ -32,7 +32,7 @@
 	s.booting = requests
 }
 
-// countMachines counts the machines of batches.
+// countMachines returns the total number of machines in batches.
 func countMachines(batches []bootBatch) int {
 	count := 0
 	for _, batch := range batches {
@@ -41,7 +41,7 @@
 	return count
 }
 
-// dropOldest removes so many machines, the oldest, from batches.
+// dropOldest removes the given number of machines from batches, oldest first.
 func dropOldest(batches []bootBatch, count int) []bootBatch {
 	for count > 0 {
 		removed := min(count, batches[0].count)
@@ -54,10 +54,10 @@
 	return batches
 }
 
-// remainingBootSeconds returns how long booting machines of a kind still take,
-// on average. Assuming half a boot time would be wrong at the start of a day
-// and after a loss, when nothing has booted yet: work that only those machines
-// can start would count as on time.
+// remainingBootSeconds returns the average remaining boot time of the booting
+// machines of a kind. Assuming half of the boot time would be too low at the start
+// of a day and after a loss of machines, when all have only just been requested:
+// work that only those machines can start would be predicted to be on time.
 func (s *shard) remainingBootSeconds(request machineRequest, bootSeconds float64, now time.Time) float64 {
 	totalSeconds, count := 0.0, 0
 	for _, batch := range s.bootBatches[request.Kind] {
--- a/internal/coordination/drain.go
+++ b/internal/coordination/drain.go
@@ -11,14 +11,14 @@
 	"reedtrack/internal/protocol"
 )
 
-// drain stops tasks that can save a checkpoint on machines that will be
-// reclaimed or replaced, and takes back what has not been sent there or to
-// silent machines.
+// drain stops tasks on cordoned machines, and tasks that can save a checkpoint on
+// machines about to be reclaimed. It returns attempts that have not been sent to
+// these or to unhealthy machines to the queue.
 func (p *planner) drain() {
 	for _, m := range p.machines {
 		leaving := !m.reclaimAt.IsZero() || m.cordoned
 		if m.health != failuredetector.Healthy || leaving {
-			// What has not been sent need not wait for the machine.
+			// Attempts that have not been sent can be placed elsewhere at once.
 			p.shard.dropUnsentAttempts(m)
 		}
 		if !leaving {
@@ -32,9 +32,10 @@
 	}
 }
 
-// mustCheckpointNow reports whether an attempt on a reclaimed machine has to be
-// stopped now to save a checkpoint before the machine is taken away. The stop
-// order waits for a heartbeat, which may be late.
+// mustCheckpointNow reports whether an attempt on a machine to be reclaimed has to
+// be stopped now to save a checkpoint in time. The stop order is delivered with the
+// answer to the next heartbeat, which may be late: hence one and a half heartbeat
+// intervals.
 func (p *planner) mustCheckpointNow(a *taskAttempt) bool {
 	spec := &a.job.spec
 	if spec.CheckpointIntervalSeconds <= 0 {
@@ -44,9 +45,9 @@
 	return a.machine.reclaimAt.Sub(p.now) < save+p.input.heartbeatInterval*3/2
 }
 
-// consolidate drains a machine, the most expensive first, when nothing is
-// pending and all that it runs can save a checkpoint and fits elsewhere: as
-// work runs out, machines would otherwise be kept for one long task each.
+// consolidate drains the most expensive machine whose tasks can all save a
+// checkpoint and fit elsewhere, if no tasks are unplaced. Otherwise, as the load
+// falls, machines would be kept for one long task each.
 func (p *planner) consolidate(unplaced []unplacedTasks) {
 	if len(unplaced) > 0 {
 		for _, m := range p.machines {
@@ -68,7 +69,8 @@
 	}
 }
 
-// isDrainingMachine reports whether a machine is being drained.
+// isDrainingMachine reports whether a machine that still runs tasks is being
+// drained.
 func (p *planner) isDrainingMachine() bool {
 	for _, m := range p.machines {
 		if m.draining && len(m.attempts) > 0 {
@@ -78,8 +80,8 @@
 	return false
 }
 
-// selectMachineToDrain returns the most expensive machine that can be drained,
-// or nil.
+// selectMachineToDrain returns the most expensive machine that can be drained, or
+// nil if there is none.
 func (p *planner) selectMachineToDrain() *machine {
 	var candidates []*machine
 	for _, m := range p.machines {
@@ -96,8 +98,8 @@
 	return nil
 }
 
-// canDrain reports whether all that a machine runs may continue on other
-// machines in use that cost no more, and whether the move is worth it.
+// canDrain reports whether every task of a machine is worth moving and fits on
+// other machines in use that cost no more.
 func (p *planner) canDrain(m *machine, machines []*machine) bool {
 	reserved := map[*machine]placement.Resources{}
 	for _, attempt := range m.attempts {
@@ -113,10 +115,9 @@
 	return true
 }
 
-// isWorthMoving reports whether an attempt can continue elsewhere from a
-// checkpoint, and has enough left to run. A task stopped within half a minute
-// of its start does not count as started; one about to end is not worth the
-// move.
+// isWorthMoving reports whether an attempt can resume elsewhere from a checkpoint
+// and has enough work left to justify the move. A task that is stopped within half
+// a minute of its start does not count as started.
 func (p *planner) isWorthMoving(a *taskAttempt) bool {
 	const minRun = 30 * time.Second
 	spec := &a.job.spec
@@ -128,8 +129,8 @@
 	return spec.EstimatedSeconds-ran.Seconds() >= 2*cost
 }
 
-// selectMoveTarget returns the best machine for a task that leaves its own,
-// besides what is reserved for others, or nil.
+// selectMoveTarget returns the best machine to move a task to, given the capacity
+// reserved for other moves, or nil if none fits.
 func (p *planner) selectMoveTarget(a *taskAttempt, machines []*machine, reserved map[*machine]placement.Resources) *machine {
 	j, m := a.job, a.machine
 	i := p.input.params.SelectBest(len(machines), func(i int) (placement.Resources, placement.Resources, bool) {
--- a/internal/coordination/job_migration.go
+++ b/internal/coordination/job_migration.go
@@ -13,16 +13,17 @@
 	"reedtrack/internal/storage"
 )
 
-// minMigrationLoadRatio is how many times higher the load of a job's shard has to be
-// than that of the target with the job added, so that jobs don't move back and
+// minMigrationLoadRatio is the minimum ratio between the load of a job's shard and
+// the load of the target with the job added, so that jobs don't move back and
 // forth between shards of similar load.
 const minMigrationLoadRatio = 1.2
 
-// noMigrationTarget is the target of a migrating job whose record has changed:
-// its copy will show where the job is.
+// noMigrationTarget is the target of a migrating job whose record has been
+// changed: the local copy of the records will show which shard the job is in.
 const noMigrationTarget = -1
 
-// migration is the move of a job to another shard, one write of its record.
+// migration is the move of a job to another shard by a single write of its
+// record.
 type migration struct {
 	shard  *shard
 	job    *job
@@ -30,10 +31,10 @@
 	txn    protocol.Txn
 }
 
-// migrateJobs moves jobs of which nothing is placed to shards that will run
-// them sooner. A migrating job is not placed until its record shows where it
-// is: a write that was not answered may still be applied, and is repeated until
-// it is known to have succeeded or failed for good.
+// migrateJobs moves jobs without placed tasks to shards that are expected to run
+// them sooner. No task of a migrating job is placed until the job's record shows
+// its shard: an unanswered write may still be applied, so it is retried until it is
+// known to have succeeded or failed for good.
 func (n *Node) migrateJobs(ctx context.Context) {
 	for _, migration := range n.buildMigrations() {
 		_, err := n.store.Txn(ctx, migration.txn)
@@ -43,9 +44,9 @@
 	}
 }
 
-// buildMigrations returns the migrations to write now: those whose outcome is
-// unknown, once more, and at most one new one. Their jobs are marked as
-// migrating.
+// buildMigrations returns the migrations to write now: all whose outcome is
+// unknown, to be retried, and new ones, at most one per shard. It marks their jobs
+// as migrating.
 func (n *Node) buildMigrations() []migration {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -71,8 +72,8 @@
 	return migrations
 }
 
-// newMigration returns the write that moves a job, conditional on the shard's
-// and the job's revision.
+// newMigration returns the write that moves a job, conditional on the revisions of
+// the shard's lease and the job's record.
 func (n *Node) newMigration(s *shard, j *job, target int) migration {
 	record := n.records.Jobs[j.id].Record
 	record.Shard = target
@@ -91,7 +92,7 @@
 	j.saving = false
 	switch {
 	case errors.Is(err, storage.ErrRefused):
-		// Not executed, unless an earlier attempt was.
+		// This write was not executed, but an earlier one may have been.
 		if !j.unconfirmedMigration {
 			j.migrating = false
 		}
@@ -102,8 +103,8 @@
 	}
 }
 
-// selectMigration selects a job of a shard and the shard that will run it
-// sooner; no job if there is none.
+// selectMigration selects a job of a shard and another shard that is expected to
+// run it sooner. The job is nil if there is none.
 func (n *Node) selectMigration(s *shard, now time.Time) (*job, int) {
 	if j, target := n.selectMigrationToSpareCapacity(s, now); j != nil {
 		return j, target
@@ -111,8 +112,8 @@
 	return n.selectMigrationByLoad(s, now)
 }
 
-// selectMigrationByLoad selects a job of a shard that lacks machines, the one
-// that would be placed last first, and the shard that will run it sooner.
+// selectMigrationByLoad selects a job of an overloaded shard, in reverse queue
+// order, and a shard that is expected to run it sooner.
 func (n *Node) selectMigrationByLoad(s *shard, now time.Time) (*job, int) {
 	summary := n.summarizeDemand(now)
 	for _, j := range slices.Backward(s.queue) {
@@ -138,19 +139,20 @@
 		return false
 	}
 	if n.records.CompletionChunksEnabled() && len(n.unsavedChunks(j)) > 0 {
-		return false // the move would lose completed tasks that only this holder knows
+		return false // the move would lose task completions that are not yet stored
 	}
-	// The demand and capacity of shards are known from records and statuses
-	// of a while ago: a job that has just been received is not moved on.
+	// The known demand and capacity of shards lag behind, since they come from
+	// records and statuses: a job that has just been received is not moved again.
 	const minHeartbeats = 2
 	return now.Sub(j.receivedAt) >= n.heartbeatIntervals(minHeartbeats)
 }
 
-// selectMigrationTarget selects the shard that will run a job sooner than its
-// own, if there is one.
+// selectMigrationTarget selects a shard that is expected to run a job sooner than
+// its own, if there is one.
 func (n *Node) selectMigrationTarget(s *shard, j *job, summary demandSummary) (target int, ok bool) {
 	if !n.isCapacityExhausted(&j.spec) {
-		// Machines can be had, here or where records have room for them.
+		// More machines can be requested, in any shard whose grant record has
+		// space for them.
 		target = n.leastLoadedOpenShard(summary)
 		return target, target >= 0 && target != s.index && n.isShardFull(s.index, s.bootingCount())
 	}
@@ -164,14 +166,14 @@
 	return best, best >= 0 && lowest*minMigrationLoadRatio < summary.shards[s.index].load(0)
 }
 
-// isShardFull reports whether a shard's record has no room for more machines
-// than it has and those that boot.
+// isShardFull reports whether a shard's grant record has no space for machines
+// beyond those granted and the given number of booting ones.
 func (n *Node) isShardFull(i, booting int) bool {
 	return len(n.records.Grants[i].Value.Machines)+booting >= n.maxMachinesPerShard()
 }
 
 // leastLoadedOpenShard selects the shard with the smallest shortage among those
-// with room in their records, or -1.
+// whose grant records have space, or -1 if there is none.
 func (n *Node) leastLoadedOpenShard(summary demandSummary) int {
 	best := -1
 	for i := range summary.shards {
@@ -189,8 +191,8 @@
 	available float64
 }
 
-// load returns how many times over the demand, with so much more, would fill
-// the shard's machines.
+// load returns the ratio of demand, plus the given additional demand, to available
+// capacity.
 func (l shardLoad) load(more float64) float64 {
 	if l.available <= 0 {
 		return math.Inf(1)
@@ -198,7 +200,8 @@
 	return (l.demanded + more) / l.available
 }
 
-// compareShortage orders shards by their shortage, or by their load.
+// compareShortage orders shards by their shortage or, if byLoad is set, by their
+// load with the additional demand.
 func compareShortage(a, b shardLoad, more float64, byLoad bool) int {
 	if byLoad {
 		return cmp.Compare(a.load(more), b.load(more))
--- a/internal/coordination/leaving_own_room_test.go
+++ b/internal/coordination/leaving_own_room_test.go
@@ -8,8 +8,8 @@
 	"reedtrack/internal/storage"
 )
 
-// newDrainingJob returns a controller with a job of five tasks that is held back to leave for
-// room for four of them, while two run on a machine of its own shard, which is full.
+// newDrainingJob returns a controller with a draining job of five tasks: two run on a
+// machine of its own shard, which is full, and another shard has capacity for four.
 func newDrainingJob() (*waitingNode, *machine) {
 	w := newWaitingNode(spotCapacity())
 	w.shard.setGrant(storage.Grant{Machines: []storage.MachineLease{{Machine: "m1", MachineType: "small", Zone: "a", FencingToken: 2}}},
@@ -25,21 +25,21 @@
 	return w, m
 }
 
-// endTask ends a task, which leaves room that the next plan finds.
+// endTask completes a task, whose capacity becomes the shard's spare capacity.
 func (w *waitingNode) endTask(attempt *taskAttempt) {
 	w.shard.completeTask(w.job, attempt.key.task)
 	w.shard.dropAttempt(attempt)
 	w.shard.spareCapacity = []spareCapacity{{Kind: attempt.machine.kind(), Free: attempt.machine.freeCapacity()}}
 }
 
-// A job that is held back stayed as soon as one of its own tasks ended, since that left
-// room in its shard: another task took its place, and the job waited anew, again and
-// again, beside room for all of it (issue 46: wk-000021 in a trial, "job leaving" and "job
-// stays" four times in 90 s, room for four tasks in another shard all the while).
+// Guards against a job that stops draining whenever one of its own tasks ends: the freed
+// capacity counted as capacity for the job, another of its tasks took it, and the job had
+// to wait anew though another shard had capacity for four tasks all the while (issue 46,
+// seen four times in 90 s for one job).
 func TestEndedTasksDoNotCancelDraining(t *testing.T) {
 	w, m := newDrainingJob()
 	if !w.job.isDraining() {
-		t.Fatal("not held back")
+		t.Fatal("job is not draining")
 	}
 	for _, running := range []int{1, 0} {
 		for _, attempt := range m.attempts {
@@ -48,19 +48,20 @@
 		}
 		w.updateDrainingJobs(w.shard, w.findMigrationTargets(w.shard, w.now), w.now)
 		if !w.job.isDraining() {
-			t.Fatalf("stays with %d running", running)
+			t.Fatalf("draining cancelled with %d tasks running", running)
 		}
 	}
 	if target, reason := w.findMigrationTargets(w.shard, w.now).selectTarget(w.job); reason != noStayReason || target != 1 {
-		t.Errorf("stays: %s", reason)
+		t.Errorf("job does not migrate: target %d, reason %q", target, reason)
 	}
 }
 
-// It stays once its own shard takes as many of its waiting tasks as the room elsewhere.
+// A job stops draining once its own shard has capacity for as many of its pending tasks as
+// the other shard.
 func TestEqualCapacityInOwnShardCancelsDraining(t *testing.T) {
 	for name, adjust := range map[string]func(w *waitingNode){
-		"room for one elsewhere": func(w *waitingNode) { w.status.Shards[0].Room[0].Free = placement.Resources{3, 0, 2} },
-		"one task waits":         func(w *waitingNode) { w.job.markDone(2); w.job.markDone(3) },
+		"capacity for one task elsewhere": func(w *waitingNode) { w.status.Shards[0].Room[0].Free = placement.Resources{3, 0, 2} },
+		"one task pending":                func(w *waitingNode) { w.job.markDone(2); w.job.markDone(3) },
 	} {
 		w, m := newDrainingJob()
 		adjust(w)
@@ -68,14 +69,14 @@
 		w.endTask(attempt)
 		w.updateDrainingJobs(w.shard, w.findMigrationTargets(w.shard, w.now), w.now)
 		if w.job.isDraining() {
-			t.Errorf("%s: held back", name)
+			t.Errorf("%s: job is still draining", name)
 		}
 	}
 }
 
-// Room on a machine of its own shard kept a job there that may not use it (issue 46:
-// wk-000045 in a trial, its last task waited beside 2 free cores where a copy of its own
-// start may arrive, and one in another shard).
+// Guards against a job that stays for free capacity in its own shard that it may not use
+// (issue 46): its last task waited beside 2 free cores on a machine where a copy of the
+// task's own start order might still arrive, while another shard had spare capacity.
 func TestUnusableCapacityDoesNotCancelDraining(t *testing.T) {
 	w, m := newDrainingJob()
 	w.job.leavingUntil = w.now.Add(-w.heartbeatIntervals(1))
@@ -83,12 +84,12 @@
 	w.shard.spareCapacity = []spareCapacity{{Kind: m.kind(), Free: placement.Resources{3, 0, 8}}}
 	w.updateDrainingJobs(w.shard, w.findMigrationTargets(w.shard, w.now), w.now)
 	if !w.job.isDraining() {
-		t.Error("stays beside room that the last plan could not use")
+		t.Error("job stays for capacity that the last plan could not use")
 	}
 	w.job.cancelDraining(stayDrainTimeout, w.now.Add(-w.heartbeatIntervals(drainWaitHeartbeats)))
 	w.job.waitReason = waitsForShare
 	w.updateDrainingJobs(w.shard, w.findMigrationTargets(w.shard, w.now), w.now)
 	if w.job.isDraining() {
-		t.Error("leaves though it only lacks a share")
+		t.Error("job drains though it only lacks a share of the quota")
 	}
 }
--- a/internal/coordination/migration_to_room.go
+++ b/internal/coordination/migration_to_room.go
@@ -9,50 +9,51 @@
 	"reedtrack/internal/storage"
 )
 
-// A job waits in a shard that has no room for it, while another shard has: on
-// machines that its own tasks don't take, or can't, for want of a share. A
-// machine with tasks on it can't go to the job, so the job goes to the machine,
-// by the same write as every migration (job_migration.go). This file only
-// selects which job, and where to.
+// A job may wait in a shard without capacity for it while another shard has spare
+// capacity: on machines that the other shard's tasks don't need, or can't use for
+// lack of a quota share. A machine with tasks on it can't be moved to the job's
+// shard, so the job is moved to the machine's, by the same write as every migration
+// (job_migration.go). This file only selects the job and the target shard.
 //
-// A job with tasks that run can't migrate. It leaves in two steps: none of its
-// tasks is placed in its shard any more, and once the last attempt has ended it
-// migrates. It does so only if that will be soon, and stays if it is not.
+// A job with running tasks can't migrate. It is drained first: no more of its
+// tasks are placed in its shard, and it migrates once its last attempt has ended.
+// Draining starts only if that is expected soon, and is cancelled if it takes
+// longer.
 
 const (
-	// migrationCheckInterval is how often jobs are looked at, and so the least time
-	// between two jobs that leave a shard for room in another: room shows in a
-	// status only after the job that took it has arrived and was placed.
+	// migrationCheckInterval is the interval of checks for such jobs, and so the
+	// minimum time between two migrations from a shard: a status shows spare
+	// capacity as taken only after the migrated job has arrived and was placed.
 	migrationCheckInterval = 4 * statusInterval
-	// migrationWaitHeartbeats is for how many heartbeat intervals a job has to have
-	// waited: what a task that ends leaves shows within one.
+	// migrationWaitHeartbeats is the minimum number of heartbeat intervals that a job
+	// waits before it migrates: capacity that an ended task frees shows within one.
 	migrationWaitHeartbeats = 2
-	// drainWaitHeartbeats is the same for a job with tasks that run, which is held
-	// back before it migrates.
+	// drainWaitHeartbeats is the same for a job with running tasks, which is drained
+	// before it migrates.
 	drainWaitHeartbeats = 4
-	// maxDrainHeartbeats is for how many heartbeat intervals a job is held back at
-	// most.
+	// maxDrainHeartbeats is the maximum number of heartbeat intervals for which a
+	// job is drained.
 	maxDrainHeartbeats = 18
 )
 
-// migrationTargets is the room that jobs of one shard may go to, as it is known at
-// one time.
+// migrationTargets is a snapshot of the spare capacity that jobs of one shard may
+// migrate to.
 type migrationTargets struct {
 	node   *Node
-	source *shard                       // the jobs' own
+	source *shard                       // shard of the jobs
 	shards []shardSpareCapacity         // of the other shards
 	usage  map[string]storage.Resources // of all shards, by team
 }
 
-// shardSpareCapacity is the room of one shard.
+// shardSpareCapacity is the spare capacity of one shard.
 type shardSpareCapacity struct {
 	shard    int
 	machines []spareCapacity
 }
 
-// selectMigrationToSpareCapacity selects a job for which its shard has had no room for a
-// while though another shard has some now, the one that would be placed first
-// first.
+// selectMigrationToSpareCapacity selects a job that its shard has had no capacity for
+// during the minimum wait, and a shard that has some now. Drained jobs come first,
+// then jobs in queue order.
 func (n *Node) selectMigrationToSpareCapacity(s *shard, now time.Time) (*job, int) {
 	if now.Sub(s.migrationCheckedAt) < migrationCheckInterval {
 		return nil, 0
@@ -80,8 +81,8 @@
 	return nil, 0
 }
 
-// findMigrationTargets returns the room of the shards other than the given one, as far
-// as it is known of late and their holders have processor time to spare.
+// findMigrationTargets returns the spare capacity of the shards other than the given
+// one whose status is recent and whose holders are not overloaded.
 func (n *Node) findMigrationTargets(s *shard, now time.Time) *migrationTargets {
 	room := &migrationTargets{node: n, source: s, usage: n.teamUsage()}
 	add := func(index int, rooms []spareCapacity) {
@@ -100,19 +101,20 @@
 	return room
 }
 
-// heartbeatIntervals returns how long so many heartbeat intervals of the workers are.
+// heartbeatIntervals returns the duration of a number of the workers' heartbeat
+// intervals.
 func (n *Node) heartbeatIntervals(count int) time.Duration {
 	return time.Duration(count) * config.Seconds(n.settings.Deployment.Workers.ReportS)
 }
 
-// hasWaitedFor reports whether tasks of the job have been without a machine for
-// so long.
+// hasWaitedFor reports whether the job has had unplaced tasks for at least the
+// given duration.
 func (j *job) hasWaitedFor(duration time.Duration, now time.Time) bool {
 	return !j.unplacedSince.IsZero() && now.Sub(j.unplacedSince) >= duration
 }
 
-// updateDrainingJobs selects the jobs that are held back to leave the shard for room
-// in another, and lets those stay that have no reason to go any more.
+// updateDrainingJobs starts to drain jobs that should migrate to another shard's
+// spare capacity, and cancels draining that no longer has a reason.
 func (n *Node) updateDrainingJobs(s *shard, room *migrationTargets, now time.Time) {
 	patience, maxHold := n.heartbeatIntervals(drainWaitHeartbeats), n.heartbeatIntervals(maxDrainHeartbeats)
 	for _, j := range s.jobs {
@@ -132,30 +134,31 @@
 	}
 }
 
-// stayReason says why a job stays in its shard.
+// stayReason is the reason why a job is not migrated to spare capacity elsewhere.
 type stayReason string
 
 const (
-	noStayReason            stayReason = ""              // it does not: it goes to room in another shard
-	stayGang                stayReason = "gang"          // whether all its tasks find room elsewhere is not known
-	stayNoCapacityElsewhere stayReason = "no room"       // no other shard has any for it
-	stayOwnCapacity         stayReason = "own room"      // its own shard takes as many of its tasks
-	stayTeamAtLimit         stayReason = "team at limit" // no shard would start it
-	stayDrainTimeout        stayReason = "tasks run"     // it was held back, and its attempts did not end in time
+	noStayReason            stayReason = ""              // none: the job migrates
+	stayGang                stayReason = "gang"          // it is not known whether all tasks of the gang fit elsewhere
+	stayNoCapacityElsewhere stayReason = "no room"       // no other shard has capacity for it
+	stayOwnCapacity         stayReason = "own room"      // its own shard has capacity for as many of its tasks
+	stayTeamAtLimit         stayReason = "team at limit" // no shard may start more of the team's tasks
+	stayDrainTimeout        stayReason = "tasks run"     // its running attempts did not end within the draining time
 )
 
-// cancelDraining ends holding the job back. It counts as waiting anew.
+// cancelDraining ends the draining of the job, whose waiting time starts anew.
 func (j *job) cancelDraining(reason stayReason, now time.Time) {
 	slog.Debug("job stays", "job", j.id, "reason", reason, "running", len(j.attempts))
 	j.leavingUntil, j.unplacedSince = time.Time{}, now
 }
 
-// isDraining reports whether the job is held back until its attempts have ended.
+// isDraining reports whether no more tasks of the job are placed in this shard, so
+// that it can migrate once its attempts have ended.
 func (j *job) isDraining() bool { return !j.leavingUntil.IsZero() }
 
-// canStartDraining reports whether a job with tasks that run has waited for long enough
-// to be held back, and its attempts are to end within the time for which it
-// would be.
+// canStartDraining reports whether a job with running tasks has waited for long
+// enough to be drained, and its attempts are expected to end within the draining
+// time.
 func (j *job) canStartDraining(patience, maxHold time.Duration, now time.Time) bool {
 	if len(j.attempts) == 0 || j.pendingTasks() == 0 || !j.isStartable() || j.spec.IsGang() || j.spec.IsService() {
 		return false
@@ -172,7 +175,8 @@
 	return true
 }
 
-// selectTarget selects the shard with the most room for a job, or says why it stays.
+// selectTarget selects the shard with the most spare capacity for a job, or returns
+// the reason why the job stays.
 func (r *migrationTargets) selectTarget(j *job) (target int, reason stayReason) {
 	if j.spec.IsGang() && j.spec.Tasks > 1 {
 		return 0, stayGang
@@ -195,27 +199,27 @@
 	return selected.shard, noStayReason
 }
 
-// sourceHasCapacity reports whether a job's own shard has room for it, so that it
-// waits for nothing but a share of its team's quota, or not for long.
+// sourceHasCapacity reports whether a job's own shard has capacity for it, so that
+// it only waits for a share of its team's quota, or not for long.
 //
-// A job that is held back gets none of that room, and its own tasks free some as
-// they end. It stays for it only if that takes as many of its waiting tasks as
-// the room elsewhere: otherwise the first task that ends would keep the job here,
-// and so on with each task that is placed in its stead.
+// A draining job gets none of that capacity, and its own tasks free some as they
+// end. It stays only if its shard can place as many of its pending tasks as the
+// capacity elsewhere could: otherwise the first task that ends would cancel the
+// draining, and so would each task that is placed in its place.
 func (r *migrationTargets) sourceHasCapacity(j *job, elsewhere []spareCapacity) bool {
 	if j.isDraining() {
 		wanted := min(j.pendingTasks(), j.countFittingTasks(elsewhere))
 		return r.source.countPlaceableTasks(j, wanted) >= wanted
 	}
 	if j.waitReason == waitsForMachine {
-		return false // the last plan has found no machine that may have one of its tasks
+		return false // the last plan found no machine on which it may place one of the tasks
 	}
 	_, hasRoom := j.mostFreeCores(r.source.spareCapacity)
 	return hasRoom
 }
 
-// countPlaceableTasks counts the waiting tasks of a job that the shard's machines have
-// room for, up to so many.
+// countPlaceableTasks counts the pending tasks of a job that fit on the shard's
+// machines, up to the given number.
 func (s *shard) countPlaceableTasks(j *job, wanted int) int {
 	count := 0
 	for _, m := range s.sortedMachines() {
@@ -229,7 +233,7 @@
 	return min(count, wanted)
 }
 
-// countFittingTasks counts the tasks of the job that find room on these machines.
+// countFittingTasks counts the tasks of the job that fit on the given machines.
 func (j *job) countFittingTasks(rooms []spareCapacity) int {
 	count := 0
 	for _, room := range rooms {
@@ -240,16 +244,16 @@
 	return count
 }
 
-// isWithinLimit reports whether a team that uses so much may run one more task
-// of a job.
+// isWithinLimit reports whether one more task of a job fits within its team's limit,
+// given the usage of all teams.
 func (n *Node) isWithinLimit(j *job, usage map[string]storage.Resources) bool {
 	more := storage.Resources{Cores: j.need[placement.Cores], GPUs: j.need[placement.Cards]}
 	total, limit := addAmounts(usage[j.spec.Team], more), n.teams[j.spec.Team].limit
 	return isWithin(total.Cores, limit.Cores) && isWithin(total.GPUs, limit.GPUs)
 }
 
-// mostFreeCores returns the free cores of the machine among these that has the most and
-// room for one task of the job; false if none has room.
+// mostFreeCores returns the most free cores of any of the given machines that has
+// capacity for a task of the job; false if none has.
 func (j *job) mostFreeCores(rooms []spareCapacity) (most float64, ok bool) {
 	for _, room := range rooms {
 		if room.Free.Fits(j.need) && j.allows(room.Kind.MachineType, room.Kind.Zone, room.Kind.Spot) {
--- a/internal/coordination/migration_to_room_test.go
+++ b/internal/coordination/migration_to_room_test.go
@@ -11,8 +11,8 @@
 	"reedtrack/internal/storage"
 )
 
-// waitingNode is a controller with one shard that has no machines, a job that has waited
-// there for a minute, and the status of another controller, which holds shard 1.
+// waitingNode is a controller whose only shard has no machines and a job that has waited
+// for a minute, and the status of another controller, which holds shard 1.
 type waitingNode struct {
 	*Node
 	shard  *shard
@@ -21,7 +21,8 @@
 	now    time.Time
 }
 
-// newWaitingNode returns one whose other shard has room on one machine.
+// newWaitingNode returns a waitingNode whose other shard has spare capacity on one
+// machine.
 func newWaitingNode(room spareCapacity) *waitingNode {
 	w := newWorld(1, nil)
 	n := New(w.settings, w.settings.Defaults(), nil, nil, nil, nil)
@@ -44,28 +45,26 @@
 	return &waitingNode{n, s, j, status, now}
 }
 
-// spotCapacity is room for four tasks of three cores on a spot machine.
+// spotCapacity is spare capacity for four tasks of three cores on a spot machine.
 func spotCapacity() spareCapacity {
 	return spareCapacity{Kind: machineKind{"big", "a", true}, Free: placement.Resources{12, 0, 24}}
 }
 
-// A job that has waited in a shard without room goes where a machine has room that it
-// may use, and nowhere else. What happened: wk-000049 of red waited in a shard without
-// machines while another had 13 of 16 cores free on a machine that red's tasks might use
-// (`shard 2 ... uses 0 wants 6, no machine; shard 1 host-000013 big used 3/16`): jobs
-// moved only when the cloud had refused every kind of machine at that moment, and it was
-// asked again every 15 s.
+// A job that has waited in a shard without capacity migrates to a shard with a machine
+// that it may use, and to no other. Guards against a job that waits in a shard without
+// machines while another shard has 13 of 16 cores free: jobs migrated only while the cloud
+// had no capacity for any kind of machine, and each kind was requested again every 15 s.
 func TestJobMigratesToSpareCapacity(t *testing.T) {
 	cases := []struct {
-		name   string
-		adjust func(w *waitingNode)
-		goes   bool
+		name     string
+		adjust   func(w *waitingNode)
+		migrates bool
 	}{
-		{"room", func(*waitingNode) {}, true},
-		{"room in the zone that it is bound to", func(w *waitingNode) { w.job.spec.Zone = "a" }, true},
-		{"room in another zone", func(w *waitingNode) { w.job.spec.Zone = "b" }, false},
-		{"room on a type that it may use", func(w *waitingNode) { w.job.machineTypes = map[string]bool{"big": true} }, true},
-		{"room on another type", func(w *waitingNode) { w.job.machineTypes = map[string]bool{"small": true} }, false},
+		{"capacity", func(*waitingNode) {}, true},
+		{"capacity in the zone that it requires", func(w *waitingNode) { w.job.spec.Zone = "a" }, true},
+		{"capacity in another zone", func(w *waitingNode) { w.job.spec.Zone = "b" }, false},
+		{"capacity on a machine type that it may use", func(w *waitingNode) { w.job.machineTypes = map[string]bool{"big": true} }, true},
+		{"capacity on another machine type", func(w *waitingNode) { w.job.machineTypes = map[string]bool{"small": true} }, false},
 		{"it may not use spot machines", func(w *waitingNode) { w.job.spec.Spot = false }, false},
 		{"all tasks in one zone", func(w *waitingNode) { w.job.spec.OneZone = true }, true},
 		{"tasks spread over zones", func(w *waitingNode) { w.job.spec.Spread = true }, true},
@@ -77,13 +76,13 @@
 			w.job.need[placement.Cards] = 1
 			w.status.Shards[0].Room[0].Free[placement.Cards] = 2
 		}, true},
-		{"its shard has room, and lacks a share", func(w *waitingNode) { w.shard.spareCapacity = []spareCapacity{spotCapacity()} }, false},
+		{"its shard has capacity and lacks a share", func(w *waitingNode) { w.shard.spareCapacity = []spareCapacity{spotCapacity()} }, false},
 		{"its team is at its limit", func(w *waitingNode) { w.shard.used["red"] = storage.Resources{Cores: 12} }, false},
-		{"a task of it runs", func(w *waitingNode) { w.job.attempts[0] = &taskAttempt{job: w.job, startedAt: w.now} }, false},
+		{"one of its tasks runs", func(w *waitingNode) { w.job.attempts[0] = &taskAttempt{job: w.job, startedAt: w.now} }, false},
 		{"it is unconfirmed", func(w *waitingNode) { w.job.unconfirmed = true }, false},
 		{"it has just begun to wait", func(w *waitingNode) { w.job.unplacedSince = w.now.Add(-time.Second) }, false},
-		{"another has just gone", func(w *waitingNode) { w.shard.migrationCheckedAt = w.now.Add(-time.Second) }, false},
-		{"a former version tells no room", func(w *waitingNode) { w.status.Shards[0].Room = nil }, false},
+		{"another job has just migrated", func(w *waitingNode) { w.shard.migrationCheckedAt = w.now.Add(-time.Second) }, false},
+		{"an earlier version reports no spare capacity", func(w *waitingNode) { w.status.Shards[0].Room = nil }, false},
 		{"the status is old", func(w *waitingNode) { w.status.receivedAt = w.now.Add(-statusValidity) }, false},
 		{"the status is a former holder's", func(w *waitingNode) { w.status.Shards[0].FencingToken-- }, false},
 		{"the other holder is overloaded", func(w *waitingNode) { w.status.Utilization = 1 }, false},
@@ -93,60 +92,60 @@
 			w := newWaitingNode(spotCapacity())
 			c.adjust(w)
 			j, target := w.selectMigrationToSpareCapacity(w.shard, w.now)
-			if goes := j == w.job && target == 1; goes != c.goes {
-				t.Errorf("goes %v (to shard %d)", goes, target)
+			if migrates := j == w.job && target == 1; migrates != c.migrates {
+				t.Errorf("migrates %v (to shard %d)", migrates, target)
 			}
 		})
 	}
 }
 
-// A gang stays: whether all its tasks find room elsewhere is not known.
+// A gang is not migrated: whether all its tasks fit elsewhere is not known.
 func TestGangIsNotMigrated(t *testing.T) {
 	w := newWaitingNode(spotCapacity())
 	w.job.spec.Type = protocol.JobTypeGang
 	if j, _ := w.selectMigrationToSpareCapacity(w.shard, w.now); j != nil {
-		t.Error("goes")
+		t.Error("a gang migrates")
 	}
 }
 
-// A job with tasks that run is held back, and goes once they have ended. What happened:
-// wk-000035, seven tasks, had two of them on small machines and waited for over 60 s with
-// the others, while a machine of another shard had 12 of 16 cores free: a job with tasks
-// that run did not move at all, and its shard never ran out of them.
+// A job with running tasks is drained, and migrates once they have ended. Guards against a
+// job that never migrates because some of its tasks always run: two tasks of seven ran on
+// small machines and the others waited for over 60 s, while a machine of another shard had
+// 12 of 16 cores free.
 func TestJobWithRunningTasksDrainsThenMigrates(t *testing.T) {
 	w := newWaitingNode(spotCapacity())
 	attempt := &taskAttempt{job: w.job, startedAt: w.now}
 	w.job.attempts[0], w.job.unfinishedAttempts = attempt, 1
 	w.updateDrainingJobs(w.shard, w.findMigrationTargets(w.shard, w.now), w.now)
 	if !w.job.isDraining() || w.job.isStartable() {
-		t.Fatal("more of its tasks are placed here")
+		t.Fatal("job is not draining, or more of its tasks may be placed here")
 	}
 	if j, _ := w.selectMigrationToSpareCapacity(w.shard, w.now); j != nil {
-		t.Fatal("goes while a task runs")
+		t.Fatal("migrates while a task runs")
 	}
 	w.shard.migrationCheckedAt = time.Time{}
 	delete(w.job.attempts, 0)
 	w.job.unfinishedAttempts = 0
-	w.shard.queue = nil // nothing of it is placed, so it is not in the queue
+	w.shard.queue = nil // no task of a draining job is placed, so it is not in the queue
 	if j, target := w.selectMigrationToSpareCapacity(w.shard, w.now); j != w.job || target != 1 {
-		t.Error("stays though its last task has ended")
+		t.Error("does not migrate though its last task has ended")
 	}
 }
 
-// A job is held back only for a reason that lasts, and only for a while.
+// A job is drained only while there is a reason, and for at most maxDrainHeartbeats.
 func TestDrainingIsBounded(t *testing.T) {
 	hold := 18 * 3 * time.Second // maxLeavingHeartbeats heartbeats of the simulated workers
 	cases := []struct {
 		name   string
 		adjust func(w *waitingNode)
-		leaves bool
+		drains bool
 	}{
-		{"its tasks end soon", func(*waitingNode) {}, true},
+		{"its tasks are expected to end soon", func(*waitingNode) {}, true},
 		{"its tasks run for longer", func(w *waitingNode) { w.job.spec.EstimatedSeconds = hold.Seconds() + 1 }, false},
 		{"a service's tasks don't end", func(w *waitingNode) { w.job.spec.Type = protocol.JobTypeService }, false},
-		{"it has not waited for long", func(w *waitingNode) { w.job.unplacedSince = w.now.Add(-9 * time.Second) }, false},
-		{"nothing of it waits", func(w *waitingNode) { w.job.unfinishedAttempts = 2 }, false},
-		{"there is no room elsewhere", func(w *waitingNode) { w.status.Shards[0].Room = nil }, false},
+		{"it has not waited long enough", func(w *waitingNode) { w.job.unplacedSince = w.now.Add(-9 * time.Second) }, false},
+		{"it has no pending tasks", func(w *waitingNode) { w.job.unfinishedAttempts = 2 }, false},
+		{"no shard has spare capacity", func(w *waitingNode) { w.status.Shards[0].Room = nil }, false},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -154,57 +153,57 @@
 			w.job.attempts[0], w.job.unfinishedAttempts = &taskAttempt{job: w.job, startedAt: w.now}, 1
 			c.adjust(w)
 			w.updateDrainingJobs(w.shard, w.findMigrationTargets(w.shard, w.now), w.now)
-			if w.job.isDraining() != c.leaves {
-				t.Fatalf("leaves %v", w.job.isDraining())
+			if w.job.isDraining() != c.drains {
+				t.Fatalf("draining %v", w.job.isDraining())
 			}
-			if !c.leaves {
+			if !c.drains {
 				return
 			}
 			w.status.receivedAt = w.now.Add(hold + time.Second)
 			w.updateDrainingJobs(w.shard, w.findMigrationTargets(w.shard, w.now.Add(hold+time.Second)), w.now.Add(hold+time.Second))
 			if w.job.isDraining() {
-				t.Error("held back for longer than its tasks were to run")
+				t.Error("drained for longer than maxDrainHeartbeats")
 			}
 			if w.job.canStartDraining(config.Seconds(12), hold, w.now.Add(hold+2*time.Second)) {
-				t.Error("held back again at once")
+				t.Error("draining restarted at once")
 			}
 		})
 	}
-	t.Run("the room is gone", func(t *testing.T) {
+	t.Run("the spare capacity is gone", func(t *testing.T) {
 		w := newWaitingNode(spotCapacity())
 		w.job.attempts[0], w.job.unfinishedAttempts = &taskAttempt{job: w.job, startedAt: w.now}, 1
 		w.updateDrainingJobs(w.shard, w.findMigrationTargets(w.shard, w.now), w.now)
 		w.status.Shards[0].Room = nil
 		w.updateDrainingJobs(w.shard, w.findMigrationTargets(w.shard, w.now), w.now)
 		if w.job.isDraining() || !w.job.isStartable() {
-			t.Error("held back for nothing")
+			t.Error("job is still draining without a target")
 		}
 	})
 }
 
-// Two shards whose demand stays as it is don't send a job back and forth: it goes at most
-// once in the time for which it has to have waited.
+// A job doesn't move back and forth between two shards of constant demand: it migrates at
+// most once per minimum waiting time.
 func TestMigrationRateIsBounded(t *testing.T) {
 	w := newWaitingNode(spotCapacity())
 	w.job.unplacedSince = w.now // it has just arrived
-	moves := 0
+	migrations := 0
 	const rounds = 600 // of a tenth of a second
 	for round := range rounds {
 		now := w.now.Add(time.Duration(round) * time.Second / 10)
 		w.status.receivedAt = now
 		if j, _ := w.selectMigrationToSpareCapacity(w.shard, now); j != nil {
-			moves++
+			migrations++
 			w.job.unplacedSince, w.job.receivedAt = now, now // and back again
 		}
 	}
-	if most := 60 / 6; moves > most {
-		t.Errorf("%d moves in a minute, at most %d", moves, most)
+	if maxMigrations := 60 / 6; migrations > maxMigrations {
+		t.Errorf("%d migrations in a minute, want at most %d", migrations, maxMigrations)
 	}
 }
 
-// Guards against a job that is held back to leave and turns away the machine which was
-// requested for it: it waited for over 90 s, held back, waiting and held back again, since
-// its tasks ran for longer than they were to.
+// Guards against a draining job that cancels the request for a machine made on its behalf:
+// it waited for over 90 s, alternating between draining and waiting, since its tasks ran
+// for longer than estimated.
 func TestDrainingJobKeepsRequestedMachine(t *testing.T) {
 	n, s, input, report := detectionShard(1)
 	now := time.Now()
@@ -226,9 +225,9 @@
 		t.Fatalf("%d tasks placed", len(j.attempts))
 	}
 	j.leavingUntil = now.Add(time.Minute)
-	check("held back")
+	check("draining")
 	j.migrating = true
 	if s.plan(input, true, now); len(s.scaleOut) != 0 {
-		t.Errorf("requested for a job that goes: %v", s.scaleOut)
+		t.Errorf("machines requested for a migrating job: %v", s.scaleOut)
 	}
 }
--- a/internal/coordination/placement.go
+++ b/internal/coordination/placement.go
@@ -8,19 +8,19 @@
 	"reedtrack/internal/storage"
 )
 
-// allows reports whether the job's tasks may run on machines of a type, zone
-// and price class.
+// allows reports whether the job's tasks may run on machines of a type and zone, on
+// spot or on demand.
 func (j *job) allows(typeName, zone string, spot bool) bool {
 	return (j.machineTypes == nil || j.machineTypes[typeName]) && (j.spec.Zone == "" || j.spec.Zone == zone) && (j.spec.Spot || !spot)
 }
 
-// allowsMachine reports whether the job's tasks may run on machines like this.
+// allowsMachine reports whether the job's tasks may run on machines of m's kind.
 func (j *job) allowsMachine(m *machine) bool {
 	return j.allows(m.lease.MachineType, m.lease.Zone, m.lease.Spot)
 }
 
-// zoneAllows reports whether one more task may run in a zone beside the job's
-// others.
+// zoneAllows reports whether one more task may run in a zone under the job's zone
+// constraints, given the zones of its other attempts.
 func (j *job) zoneAllows(zone string) bool {
 	if !j.spec.OneZone && !j.spec.Spread {
 		return true
@@ -36,22 +36,22 @@
 	return !j.spec.Spread || sameZone < (j.spec.Tasks+1)/2
 }
 
-// canPlaceOn reports whether a machine may get one more task of a job, free
-// capacity apart.
+// canPlaceOn reports whether one more task of the job may be placed on a machine,
+// regardless of free capacity.
 func (j *job) canPlaceOn(m *machine) bool {
 	return m.acceptsTasks() && j.canRunOn(m) && j.hasTaskFor(m)
 }
 
-// canRunOn reports whether one more task of a job may run on a machine beside
-// the job's others, whatever else is there.
+// canRunOn reports whether the constraints of the job permit one more task on a
+// machine, regardless of the machine's state and free capacity.
 func (j *job) canRunOn(m *machine) bool {
 	return j.allowsMachine(m) && !j.failedOn[m.lease.Machine] && j.zoneAllows(m.lease.Zone)
 }
 
 // hasTaskFor reports whether the job has a pending task that may be started on a
-// machine. A task may not while a copy of a start order of an ended attempt may
-// still arrive there: another attempt would displace the ended one that makes
-// the copy harmless. This concerns that very task, not the others of its job.
+// machine. A task may not be started there while a delayed copy of the start order
+// of one of its ended attempts may still arrive: a new attempt would displace the
+// ended one, which makes the copy harmless. Other tasks of the job may be started.
 func (j *job) hasTaskFor(m *machine) bool {
 	if m.exchange.CountUnanswered() == 0 {
 		return true
@@ -65,8 +65,8 @@
 	return kept == 0 || kept < j.pendingTasks()
 }
 
-// takeTaskFor returns a task to place on a machine, or -1 if there is none that
-// may be started there.
+// takeTaskFor takes a pending task that may be started on a machine, and returns -1
+// if there is none.
 func (j *job) takeTaskFor(m *machine) int {
 	var kept []int
 	task := j.takePendingTask()
@@ -78,8 +78,8 @@
 	return task
 }
 
-// remainingQuota returns how many more tasks of a job its team's share allows,
-// besides what is used already and an amount that may be used unreported.
+// remainingQuota returns how many more tasks of a job its team's share allows, after
+// current usage and the given capacity, which unreported tasks may use.
 func (s *shard) remainingQuota(j *job, teams map[string]teamQuota, unreported storage.Resources) int {
 	quota, used, share := teams[j.spec.Team], s.used[j.spec.Team], s.shares[j.spec.Team]
 	if limited, ok := s.shareCaps[j.spec.Team]; ok {
@@ -97,9 +97,8 @@
 	return max(tasks, 0)
 }
 
-// placePending places what fits, in queue order, and returns what does not
-// though its team's share would allow it. It leaves the jobs with pending tasks
-// in the shard's queue.
+// placePending places pending tasks in queue order. It returns those that fit on no
+// machine though their team's share allows them; their jobs stay in the queue.
 func (p *planner) placePending() []unplacedTasks {
 	s := p.shard
 	p.unreported = s.unreportedCapacity()
@@ -115,7 +114,7 @@
 		if j.spec.IsGang() {
 			if allowed < pending || len(j.attempts) > 0 {
 				s.recordWaitReason(j, allowed < pending, p.now)
-				continue // a gang starts as a whole, once its last attempt has ended everywhere
+				continue // a gang starts as a whole, and only after all tasks of its previous attempt have ended
 			}
 			placed = p.placeGang(j, allowed, candidates)
 		} else {
@@ -130,8 +129,8 @@
 	return unplaced
 }
 
-// appendUnplaced appends so many tasks of a job to those that found no machine, as far as
-// its team's quota allows: what is unplaced of earlier jobs has a claim on that, too.
+// appendUnplaced appends up to count tasks of a job to the unplaced tasks, as far as its
+// team's quota allows, of which unplaced tasks of earlier jobs have claimed a part.
 func (p *planner) appendUnplaced(unplaced []unplacedTasks, j *job, count int) []unplacedTasks {
 	claim := p.claimed[j.spec.Team]
 	spoken := storage.Resources{Cores: p.unreported.Cores + claim.Cores, GPUs: p.unreported.GPUs + claim.GPUs}
@@ -143,9 +142,10 @@
 	return append(unplaced, unplacedTasks{j, count})
 }
 
-// collectDrainingTasks lists the pending tasks of jobs that are held back to leave the shard, after
-// those that found no machine. They are placed on none. But a machine that was requested
-// for them before may come, and take them, long before their job's last attempt has ended.
+// collectDrainingTasks lists the pending tasks of draining jobs. It is called after all
+// unplaced tasks have claimed their part of the quota. Tasks of draining jobs are not placed
+// but still counted in the scale-out: a machine that was requested for them may arrive, and
+// run them, long before the last attempt of their job has ended.
 func (p *planner) collectDrainingTasks() []unplacedTasks {
 	var leaving []unplacedTasks
 	isLeaving := func(j *job) bool { return j.isDraining() && !j.migrating && !j.ended }
@@ -157,7 +157,7 @@
 	return leaving
 }
 
-// resetDesired begins to sum what the teams desire with what they use.
+// resetDesired resets each team's desired amount to its current usage.
 func (s *shard) resetDesired() {
 	clear(s.desired)
 	for team, usage := range s.used {
@@ -165,7 +165,8 @@
 	}
 }
 
-// placementCandidates lists the machines that can take any pending task at all.
+// placementCandidates lists the machines that may fit a pending task: those with the
+// minimum of each resource that any task needs.
 func (p *planner) placementCandidates() []*machine {
 	least := minNeed(p.shard.queue)
 	var candidates []*machine
@@ -177,8 +178,8 @@
 	return candidates
 }
 
-// updateSmallestTasks records the least that one of a team's pending tasks
-// needs, of the queue and of the jobs that are held back.
+// updateSmallestTasks records, for each team, the minimum of each resource that one of
+// its pending tasks needs, including tasks of draining jobs.
 func (s *shard) updateSmallestTasks(leaving []unplacedTasks) {
 	clear(s.smallestTask)
 	smaller := func(a, b float64) float64 { // 0: none yet
@@ -204,9 +205,9 @@
 	}
 }
 
-// fillMachine places pending tasks on a machine with freed capacity, in the
-// order of the last plan. That plan left no task that fits on another machine,
-// so the lowest score is to be had here; gangs wait for the next plan.
+// fillMachine places pending tasks on a machine with freed capacity, in the queue
+// order of the last plan. That plan left no task that fits on another machine, so
+// none has a better score; gangs wait for the next plan.
 func (s *shard) fillMachine(m *machine, teams map[string]teamQuota) {
 	s.capacityFreed = false
 	if !m.acceptsTasks() {
@@ -219,7 +220,7 @@
 		if !free.Fits(j.need) || !s.canFillWith(j, m) {
 			continue
 		}
-		if !known { // costly, and most heartbeats free no capacity
+		if !known { // computed only when needed: it is expensive, and most heartbeats free no capacity
 			unreported, known = s.unreportedCapacity(), true
 		}
 		for n := s.remainingQuota(j, teams, unreported); n > 0 && free.Fits(j.need) && j.zoneAllows(m.lease.Zone); n-- {
@@ -233,14 +234,14 @@
 	}
 }
 
-// canFillWith reports whether a machine may be filled with tasks of a job that
-// was in the queue of the last plan: the job may have changed since, or ended.
+// canFillWith reports whether tasks of a job from the last plan's queue may still be
+// placed on a machine: the job may have changed or ended since.
 func (s *shard) canFillWith(j *job, m *machine) bool {
 	return s.jobs[j.id] == j && j.isStartable() && !j.spec.IsGang() && j.pendingTasks() > 0 && j.canPlaceOn(m)
 }
 
-// placeGang places all tasks of a gang, so many, under one attempt number, or
-// none if some find no place. It returns how many it has placed.
+// placeGang places all count tasks of a gang under one attempt number, or none if
+// they don't all fit. It returns the number of tasks placed.
 func (p *planner) placeGang(j *job, count int, machines []*machine) int {
 	placed := p.placeTasks(j, count, machines)
 	if len(placed) < count {
@@ -255,8 +256,8 @@
 	return len(placed)
 }
 
-// placeTasks places up to count tasks of a job, each on the machine with the
-// lowest score after it.
+// placeTasks places up to count tasks of a job, each on the machine with the lowest
+// score after the placement.
 func (p *planner) placeTasks(j *job, count int, machines []*machine) []*taskAttempt {
 	if count == 0 {
 		return nil
@@ -289,9 +290,9 @@
 	return placed
 }
 
-// preference decides equal scores: machines that have had the job's image
-// first, then spot before on demand, then those whose next heartbeat, and so
-// the answer with their orders, is due soonest.
+// preference breaks ties between equal scores: machines that have had the job's image
+// come first, then spot machines, then those whose next heartbeat is due soonest, since
+// orders are delivered with the answer to it.
 func preference(j *job, m *machine, since time.Time) int {
 	rank := 0
 	if !m.images[j.spec.Image] {
@@ -304,7 +305,7 @@
 	return rank*soonestRank + int(m.lastAnswered.Sub(since)/(100*time.Millisecond))
 }
 
-// minNeed returns what every one of the jobs' tasks needs at least.
+// minNeed returns the minimum of each resource over the jobs' tasks.
 func minNeed(jobs []*job) placement.Resources {
 	if len(jobs) == 0 {
 		return placement.Resources{}
--- a/internal/coordination/plan.go
+++ b/internal/coordination/plan.go
@@ -15,80 +15,79 @@
 
 // # The scheduler
 //
-// A controller plans each of its shards by itself, several times a second: from
-// the shard's jobs and machines and a snapshot of the deployment (planInput) to
-// decisions on tasks and machines. It takes no lock, does no I/O and decides by
-// no clock: the caller holds the Node's lock, and passes the time. (Only the
-// latency record reads the clock by itself.)
+// A controller plans each of its shards independently, several times a second. A
+// plan computes decisions on tasks and machines from the shard's jobs and machines
+// and a snapshot of the deployment (planInput). It acquires no lock, does no I/O and
+// reads no clock: the caller holds the Node's lock and passes the time. (Only the
+// latency recorder reads the clock itself.)
 //
-// The steps of a plan, in their order. What one step decides, it applies to the
-// shard at once, so the next step sees it; only what found no place is handed
-// on, as a list of unplacedTasks in queue order. The cost is the order of growth:
-// M, J, U and P stand for the numbers of the shard's machines, jobs with pending
-// tasks, jobs among the unplaced and placed tasks.
+// The steps of a plan are listed below in order. Each step applies its decisions to
+// the shard immediately, so the next step sees them; only the tasks that fit nowhere
+// are passed on, as a list of unplacedTasks in queue order. The cost is the order of
+// growth, where M is the number of the shard's machines, J of jobs with pending tasks,
+// U of jobs with unplaced tasks and P of placed tasks.
 //
 //	step                      reads                          writes                      cost
 //	orderQueue                jobs, capacity, booting        queue                       J log J
 //	  (queue.go)              machines, deadlines                                        and Snapshot.Order
 //	placePending              queue, free capacity, quota,   attempts, desired,          J·M + P log M
-//	  (placement.go)          jobs that are held back        smallestTask; unplaced,
-//	                                                         leaving
+//	  (placement.go)          draining jobs                  smallestTask; unplaced,
+//	                                                         drainingTasks
 //	drain                     condition of machines          stops, unsent attempts      P
-//	  (drain.go)                                             taken back
+//	  (drain.go)                                             returned to the queue
 //	excludeStopping           attempts that are stopping     shorter unplaced            P + U·M
 //	  (preemption.go)
 //	preempt (full)            attempts, priorities,          stops; shorter unplaced     U·P
 //	  (preemption.go)         guarantees
-//	planScaleOut              unplaced, leaving, booting     scaleOut, suitableKinds,    U·M
-//	  (scale_out.go)                                         stalls, startable
+//	planScaleOut              unplaced, drainingTasks,       scaleOut, suitableKinds,    U·M
+//	  (scale_out.go)          booting                        stalls, startable
 //	consolidate (full)        attempts, prices               draining, stops             P·M
 //	  (drain.go)
 //	markMachinesInUse         attempts                       idleSince                   M
-//	updateRoom                free capacity                  room                        M
+//	updateSpareCapacity       free capacity                  spareCapacity               M
 //	  (shard_room.go)
 //
 // The order matters:
 //
-//   - What drain takes back is placed by the next plan, not by this one.
-//   - Tasks that are stopping make room soon. What fits there needs neither
-//     preemption nor new machines, so it is excluded before both.
-//   - Preemption comes before scale-out, since it serves urgent work sooner; for
-//     what it serves no machine is requested.
-//   - Consolidation comes last: it drains a machine only if all before has left
-//     nothing unplaced. If something is unplaced, it ends the draining, also in
+//   - Attempts that drain returns to the queue are placed by the next plan, not by
+//     this one.
+//   - Stopping tasks free capacity soon. Tasks that fit there need neither preemption
+//     nor new machines, so they are excluded before both.
+//   - Preemption comes before scale-out, since it serves urgent work sooner; no
+//     machine is requested for tasks that it serves.
+//   - Consolidation comes last: it drains a machine only if the earlier steps leave no
+//     task unplaced. If a task is unplaced, consolidation cancels the draining, even in
 //     a plan that is not full.
 //
-// The steps marked (full) compare every task with every machine. They are left
-// to full plans, which are made a few times in each heartbeat interval: what
-// they decide takes effect with the workers' heartbeats anyway. Between plans,
-// fillMachine gives capacity that a heartbeat has freed to the queue of the last
-// plan.
-
-// planInput is a snapshot of what a shard needs to know of the deployment to
-// plan. Node.newPlanInput builds it once for all shards of a controller, and
-// detectFailures adds what it finds.
+// The steps marked (full) compare every task with every machine. They run only in
+// full plans, which are made a few times in each heartbeat interval: their decisions
+// take effect with the workers' heartbeats anyway. Between plans, fillMachine places
+// tasks from the queue of the last plan on capacity that a heartbeat has freed.
+
+// planInput is a snapshot of the deployment state that a plan needs.
+// Node.newPlanInput builds it once for all shards of a controller, and
+// detectFailures adds its results.
 type planInput struct {
 	params            placement.UCfit              // weights of the score that selects machines
 	machineTypes      []protocol.MachineType       // the catalog
 	teams             map[string]teamQuota         // quotas of the teams
-	hasNoCapacity     func(k machineKind) bool     // whether the cloud said lately that it has none of a kind
+	hasNoCapacity     func(k machineKind) bool     // whether the cloud recently reported no capacity of a kind
 	heartbeatInterval time.Duration                // of workers
 	objectives        []config.Objective           // service-level objectives of classes and guarantees
 	usage             map[string]storage.Resources // of all shards, by team
 	serviceLevels     serviceLevels                // of all shards
-	maxMachines       int                          // that a shard may have
-	unreachableZones  map[string]bool              // zones from which hardly any heartbeat arrives
-	isolated          bool                         // hardly any heartbeat arrives at all
+	maxMachines       int                          // maximum number of machines per shard
+	unreachableZones  map[string]bool              // zones from which almost no heartbeats arrive
+	isolated          bool                         // almost no heartbeats arrive at this controller
 }
 
-// teamQuota is a team's quota: what it may use at most, and what it is
-// guaranteed.
+// teamQuota is a team's quota: its limit and its guaranteed minimum.
 type teamQuota struct {
 	limit     storage.Resources // zero: no limit
 	guarantee storage.Resources
 }
 
-// unplacedTasks is a number of a job's tasks that found no machine.
+// unplacedTasks is a number of a job's tasks that fit on no machine.
 type unplacedTasks struct {
 	job   *job
 	count int
@@ -98,12 +97,12 @@
 type planner struct {
 	shard    *shard
 	input    *planInput
-	machines []*machine // of the shard, by name: the order in which equal candidates are taken
+	machines []*machine // of the shard, by name, which breaks ties between candidates
 	now      time.Time
 
-	unreported    storage.Resources            // what may run on machines that have not reported yet
-	claimed       map[string]storage.Resources // by what found no machine, per team
-	drainingTasks []unplacedTasks              // of jobs that are held back to leave the shard
+	unreported    storage.Resources            // capacity that unreported tasks may use
+	claimed       map[string]storage.Resources // quota claimed by unplaced tasks, by team
+	drainingTasks []unplacedTasks              // pending tasks of draining jobs
 }
 
 // newPlanner returns a planner for one plan of the shard.
@@ -112,8 +111,8 @@
 }
 
 // plan places pending tasks, selects preemption victims and computes the
-// scale-out: see the overview at the top of this file. full says whether to
-// make the steps that compare every task with every machine.
+// scale-out: see the overview at the top of this file. full enables the steps that
+// compare every task with every machine.
 func (s *shard) plan(input *planInput, full bool, now time.Time) {
 	p := s.newPlanner(input, now)
 	s.queue = s.orderQueue(input, now)
@@ -131,7 +130,7 @@
 	p.updateSpareCapacity()
 }
 
-// markMachinesInUse notes which machines are not idle.
+// markMachinesInUse resets the idle time of machines that run tasks.
 func (p *planner) markMachinesInUse() {
 	for _, m := range p.machines {
 		if len(m.attempts) > 0 {
@@ -151,7 +150,8 @@
 	return s.machineList
 }
 
-// machineType returns a type of the catalog; the zero value if there is none.
+// machineType returns the machine type of that name, or the zero value if the catalog
+// has none.
 func (p *planInput) machineType(name string) protocol.MachineType {
 	for _, machineType := range p.machineTypes {
 		if machineType.Name == name {
--- a/internal/coordination/plan_bench_test.go
+++ b/internal/coordination/plan_bench_test.go
@@ -13,7 +13,7 @@
 
 var benchSizes = []int{500, 1000, 2000, 5000, 10000}
 
-// runAtSizes runs a benchmark at each size, without logs.
+// runAtSizes runs a benchmark at each of benchSizes, with logging disabled.
 func runAtSizes(b *testing.B, f func(b *testing.B, n int)) {
 	slog.SetDefault(slog.New(slog.DiscardHandler))
 	for _, n := range benchSizes {
@@ -21,8 +21,8 @@
 	}
 }
 
-// busyShard returns a shard whose machines are all in use, with three jobs
-// waiting for every ten machines.
+// busyShard returns a shard whose machines are all in use, with three pending jobs
+// for every ten machines.
 func busyShard(machines int, now time.Time) (*shard, *planInput) {
 	s := newShard(0, storage.ShardLease{FencingToken: 1}, 1, now)
 	s.reconciled = true
@@ -52,7 +52,7 @@
 	return s, p
 }
 
-// runningReport lists all tasks of a machine as running.
+// runningReport returns a heartbeat that reports all tasks of a machine as running.
 func runningReport(m *machine, sequence, token uint64) *protocol.Heartbeat {
 	r := &protocol.Heartbeat{Machine: m.lease.Machine, Session: 1, Sequence: sequence, FencingToken: token}
 	for k, x := range m.attempts {
@@ -61,7 +61,7 @@
 	return r
 }
 
-// BenchmarkPlan measures a full plan of a full shard.
+// BenchmarkPlan measures a full plan of a shard without free capacity.
 func BenchmarkPlan(b *testing.B) {
 	runAtSizes(b, func(b *testing.B, n int) {
 		now := time.Now()
@@ -73,8 +73,8 @@
 	})
 }
 
-// BenchmarkHeartbeat measures a heartbeat that frees a task's capacity, with
-// the task that takes its place and the answer.
+// BenchmarkHeartbeat measures a heartbeat that frees a task's capacity, including the
+// placement of the next task and the orders in the answer.
 func BenchmarkHeartbeat(b *testing.B) {
 	runAtSizes(b, func(b *testing.B, n int) {
 		now := time.Now()
@@ -97,9 +97,9 @@
 	})
 }
 
-// BenchmarkFailover measures the failover of a shard: its records, every
-// machine's first heartbeat to the new holder, with the tasks that are on it,
-// and the first plan.
+// BenchmarkFailover measures the failover of a shard: loading its records, each
+// machine's first heartbeat to the new holder, with its running tasks, and the first
+// plan.
 func BenchmarkFailover(b *testing.B) {
 	runAtSizes(b, func(b *testing.B, n int) {
 		now := time.Now()
@@ -125,7 +125,7 @@
 				s.buildOrders(m, now)
 			}
 			if !s.reconciled {
-				b.Fatal("not settled")
+				b.Fatal("shard is not reconciled")
 			}
 			s.plan(p, true, now)
 		}
--- a/internal/coordination/plan_input.go
+++ b/internal/coordination/plan_input.go
@@ -11,7 +11,7 @@
 	"reedtrack/internal/storage"
 )
 
-// newPlanInput collects what the shards need to plan now.
+// newPlanInput builds the input for the plans of this controller's shards.
 func (n *Node) newPlanInput(now time.Time) *planInput {
 	return &planInput{
 		params:            placement.UCfit{A: n.operator.UCfitA, B: n.operator.UCfitB, C: n.operator.UCfitC},
@@ -26,8 +26,7 @@
 	}
 }
 
-// teamUsage sums what each team uses in all shards, as far as this controller
-// knows.
+// teamUsage sums each team's usage over all shards known to this controller.
 func (n *Node) teamUsage() map[string]storage.Resources {
 	usage := map[string]storage.Resources{}
 	add := func(usedByTeam map[string]storage.Resources) {
@@ -49,12 +48,13 @@
 	return usage
 }
 
-// unknownMaxIdleTime is how long an empty machine is kept of whose type the
-// catalog says neither the boot time nor the price.
+// unknownMaxIdleTime is how long an empty machine is kept whose type is not in the
+// catalog, so that its boot time and price are unknown.
 const unknownMaxIdleTime = time.Minute
 
-// maxIdleTime returns how long an empty machine is kept: for as long as that
-// costs no more than booting another like it, at the lower of its two prices.
+// maxIdleTime returns how long an empty machine is kept: as long as keeping it costs
+// no more than booting another one of its type, at the lower of the type's on-demand and
+// spot prices.
 func (n *Node) maxIdleTime(kind machineKind) time.Duration {
 	for _, machineType := range n.records.MachineTypes {
 		if machineType.Name != kind.MachineType {
@@ -87,8 +87,8 @@
 	}
 }
 
-// updateTeamWithinGuarantee does that for one team's jobs, in the order in which
-// they count.
+// updateTeamWithinGuarantee does that for the jobs of one team, which are sorted by
+// the time at which they became startable.
 func (n *Node) updateTeamWithinGuarantee(guarantee storage.Resources, records []*clusterstate.JobRecord) {
 	hasGuarantee := guarantee.Cores > 0 || guarantee.GPUs > 0
 	var total storage.Resources
@@ -107,7 +107,7 @@
 	}
 }
 
-// sortByStartable sorts jobs by when their times begin to count.
+// sortByStartable sorts jobs by the time at which they became startable, then by ID.
 func sortByStartable(records []*clusterstate.JobRecord) {
 	slices.SortFunc(records, func(a, b *clusterstate.JobRecord) int {
 		return cmp.Or(cmp.Compare(a.StartableMS(), b.StartableMS()), cmp.Compare(a.Record.Spec.ID, b.Record.Spec.ID))
--- a/internal/coordination/preemption.go
+++ b/internal/coordination/preemption.go
@@ -10,14 +10,13 @@
 	"reedtrack/internal/policy"
 )
 
-// freeSpace is free capacity on a machine.
+// freeSpace is capacity of a machine that is free or about to be freed.
 type freeSpace struct {
 	machine  *machine
 	capacity placement.Resources
 }
 
-// excludeStopping leaves out what will fit once tasks that were told to stop
-// have ended.
+// excludeStopping leaves out tasks that will fit once stopping attempts have ended.
 func (p *planner) excludeStopping(unplaced []unplacedTasks) []unplacedTasks {
 	var stopping []*freeSpace
 	for _, m := range p.machines {
@@ -34,7 +33,8 @@
 	return excludeFitting(unplaced, stopping)
 }
 
-// excludeFitting leaves out what fits into the given spaces, which it fills.
+// excludeFitting leaves out the tasks that fit into the given spaces, and subtracts
+// their needs from these.
 func excludeFitting(unplaced []unplacedTasks, spaces []*freeSpace) []unplacedTasks {
 	if len(spaces) == 0 {
 		return unplaced
@@ -55,17 +55,17 @@
 	return rest
 }
 
-// preemptionCandidate is what could be preempted on a machine for one task of a
-// job.
+// preemptionCandidate is a set of attempts on one machine that could be preempted for
+// one task of a job.
 type preemptionCandidate struct {
 	machine  *machine
 	attempts []*taskAttempt
-	loss     float64 // price of the preemption, see policy.RunningTask.PreemptionCost
-	lostWork float64 // core seconds thrown away
+	loss     float64 // total preemption cost, see policy.RunningTask.PreemptionCost
+	lostWork float64 // in core seconds
 }
 
-// preempt stops work of lower priority, or beyond a guarantee, for jobs that
-// nothing else will serve soon. It returns what remains unplaced.
+// preempt stops tasks of lower priority, or of teams beyond their guarantee, for jobs
+// that should preempt. It returns the tasks that remain unplaced.
 func (p *planner) preempt(unplaced []unplacedTasks) []unplacedTasks {
 	var rest []unplacedTasks
 	for _, tasks := range unplaced {
@@ -79,25 +79,25 @@
 	return rest
 }
 
-// preemptFor preempts what costs least until so many tasks have room, and
-// returns for how many it did.
+// preemptFor preempts the cheapest victims until all given tasks fit or no candidate
+// is left, and returns the number of tasks that fit.
 func (p *planner) preemptFor(tasks unplacedTasks, preemptor policy.Preemptor) int {
 	candidates := p.preemptionCandidates(tasks.job, preemptor)
 	n := 0
 	for ; n < tasks.count && len(candidates) > 0; n++ {
 		best := cheapestCandidate(candidates)
 		p.stopVictims(candidates[best], tasks.job)
-		// One preemptor a machine in a plan: the next plan evaluates what else
-		// could be preempted there.
+		// One preemption per machine and plan: the next plan evaluates further
+		// victims there.
 		candidates = slices.Delete(candidates, best, best+1)
 	}
 	return n
 }
 
-// preemptionCandidates lists what could be preempted for one task of a job, by
-// machine.
+// preemptionCandidates lists the preemption candidates for one task of a job, one per
+// machine at most.
 func (p *planner) preemptionCandidates(j *job, preemptor policy.Preemptor) []preemptionCandidate {
-	// Preempting work that costs more than the task itself is no gain.
+	// Preemption must not lose more work than the task itself takes.
 	maxWork := j.need[placement.Cores] * max(j.spec.EstimatedSeconds, 1)
 	var candidates []preemptionCandidate
 	for _, m := range p.machines {
@@ -112,8 +112,7 @@
 	return candidates
 }
 
-// cheapestCandidate returns the index of the candidate with the lowest loss,
-// the first of equals.
+// cheapestCandidate returns the index of the first candidate with the lowest loss.
 func cheapestCandidate(candidates []preemptionCandidate) int {
 	best := 0
 	for i := range candidates {
@@ -124,8 +123,8 @@
 	return best
 }
 
-// stopVictims preempts the attempts of a candidate for a job. One whose start
-// was not sent has lost nothing, and does not count as preempted.
+// stopVictims preempts the attempts of a candidate for a job. An attempt whose start
+// order has not been sent loses no work and is not counted as preempted.
 func (p *planner) stopVictims(candidate preemptionCandidate, j *job) {
 	for _, attempt := range candidate.attempts {
 		victim := attempt.job
@@ -141,7 +140,8 @@
 	}
 }
 
-// cheapestVictims selects what to preempt on one machine.
+// cheapestVictims selects the attempts to preempt on one machine for a task of a job;
+// none if preemption can't make it fit.
 func (p *planner) cheapestVictims(j *job, preemptor policy.Preemptor, m *machine) preemptionCandidate {
 	candidate := preemptionCandidate{machine: m}
 	attempts, tasks := p.shard.victims(j, preemptor, m, p.input, p.now)
@@ -181,7 +181,7 @@
 	return preemptor
 }
 
-// victims lists what may be preempted on a machine for a job.
+// victims lists the attempts that may be preempted on a machine for a job.
 func (s *shard) victims(j *job, preemptor policy.Preemptor, m *machine, input *planInput, now time.Time) (attempts []*taskAttempt, tasks []policy.RunningTask) {
 	for _, attempt := range m.attempts {
 		if attempt.stopRequested || attempt.job.ended {
@@ -214,8 +214,8 @@
 	}
 }
 
-// isBeyondGuarantee reports whether a job's team would still use its whole
-// guarantee with one task of the job less.
+// isBeyondGuarantee reports whether a job's team would still use its whole guarantee
+// without one of the job's tasks.
 func (p *planInput) isBeyondGuarantee(j *job) bool {
 	usage, guarantee := p.usage[j.spec.Team], p.teams[j.spec.Team].guarantee
 	return usage.Cores-j.need[placement.Cores] >= guarantee.Cores && usage.GPUs-j.need[placement.Cards] >= guarantee.GPUs
--- a/internal/coordination/queue.go
+++ b/internal/coordination/queue.go
@@ -11,10 +11,9 @@
 	"reedtrack/internal/protocol"
 )
 
-// orderQueue sorts the jobs with pending tasks so that as many as possible meet
-// their deadlines, see package policy: those that a class or team needs to
-// reach its minimum service level first, then those within a guarantee, then by
-// urgency.
+// orderQueue sorts the jobs with pending tasks so that as many as possible meet their
+// deadlines, see package policy: first jobs of classes and teams below their minimum
+// service level, then jobs within a guarantee, then by urgency.
 func (s *shard) orderQueue(input *planInput, now time.Time) []*job {
 	jobs := s.placeableJobs(now)
 	snapshot := s.policySnapshot(jobs, input, now)
@@ -25,16 +24,15 @@
 	return ordered
 }
 
-// placeableJobs lists the jobs with tasks that may be placed now, in the order
-// in which they were submitted: among equals it decides.
+// placeableJobs lists the jobs with tasks that may be placed now, in submission order,
+// which breaks ties.
 func (s *shard) placeableJobs(now time.Time) []*job {
 	return sortedBySubmission(s.jobs, func(j *job) bool {
 		return j.isStartable() && !now.Before(j.retryAfter) && j.pendingTasks() > 0
 	})
 }
 
-// sortedBySubmission lists the jobs that a condition holds for, in the order in which they
-// were submitted.
+// sortedBySubmission lists the jobs that satisfy a condition, in submission order.
 func sortedBySubmission(jobs map[string]*job, condition func(*job) bool) []*job {
 	var sorted []*job
 	for _, j := range jobs {
@@ -48,8 +46,8 @@
 	return sorted
 }
 
-// policySnapshot describes jobs, capacity and service levels to the queue
-// policy, which knows classes and teams by numbers.
+// policySnapshot converts jobs, capacity and service levels to the input of the queue
+// policy, which identifies classes and teams by index.
 func (s *shard) policySnapshot(jobs []*job, input *planInput, now time.Time) policy.Snapshot {
 	snapshot := policy.Snapshot{Jobs: make([]policy.Job, len(jobs))}
 	s.addCapacity(&snapshot, input, now)
@@ -81,8 +79,8 @@
 	return snapshot
 }
 
-// addCapacity adds the cores that the shard has, and those that boot for it
-// with the average time that they still take.
+// addCapacity adds the cores of the shard's machines, and those of its booting machines
+// with their average remaining boot time.
 func (s *shard) addCapacity(snapshot *policy.Snapshot, input *planInput, now time.Time) {
 	for _, m := range s.machines {
 		if m.isSchedulable() {
@@ -98,10 +96,10 @@
 	}
 }
 
-// nameIndex numbers names in the order in which they come.
+// nameIndex assigns numbers to names in the order of their first use.
 type nameIndex map[string]int
 
-// indexOf returns a name's number, a new one for a new name.
+// indexOf returns the number of a name, and assigns the next number to a new name.
 func (index nameIndex) indexOf(name string) int {
 	number, ok := index[name]
 	if !ok {
@@ -111,8 +109,8 @@
 	return number
 }
 
-// priorityClass ranks work within a guarantee above other work, and each by
-// urgency.
+// priorityClass returns the rank of a job: by urgency, with all jobs within a guarantee
+// above all others.
 func priorityClass(j *job) int {
 	class := int(j.urgency)
 	if j.withinGuarantee {
@@ -121,17 +119,17 @@
 	return class
 }
 
-// Kinds of service-level objectives, as the settings name them.
+// Kinds of service-level objectives, as named in the settings.
 const (
 	objectiveGuarantee = "guarantee" // work within a guarantee starts in time
 	objectiveWait      = "wait"      // jobs of a class start in time
 	objectiveFinished  = "finished"  // jobs of a class are finished in time
 )
 
-// deadlines returns the seconds left until a job should be done, ascending: its
-// own deadline and the objectives of its class or guarantee that can still be
-// met. A job that has missed them all is due after half of the time that it has
-// waited, so that it does not starve.
+// deadlines returns the seconds left until each deadline of a job that can still be met,
+// ascending: its own deadline and those from the objectives of its class or guarantee. A
+// job that has missed them all gets a deadline of its estimated run time plus half of its
+// waiting time, so that it does not starve.
 func (p *planInput) deadlines(j *job, now time.Time) (deadlines []float64, missed bool) {
 	waited := now.Sub(j.submittedAt).Seconds()
 	found := false
@@ -162,14 +160,14 @@
 	return []float64{math.Inf(1)}, false
 }
 
-// secondsToDeadline returns how many seconds are left until a job's deadline,
-// if it has one.
+// secondsToDeadline returns the number of seconds until a job's deadline. It must only be
+// called for a job with a deadline.
 func (j *job) secondsToDeadline(now time.Time) float64 {
 	return (j.deadlineMS - float64(now.UnixMilli())) / 1000
 }
 
-// remainingWork returns the core seconds that a job still needs, by its owner's
-// estimate.
+// remainingWork returns the core seconds that a job still needs, by its estimated task
+// duration.
 func (j *job) remainingWork(now time.Time) float64 {
 	work := float64(j.pendingTasks()) * j.spec.EstimatedSeconds
 	for _, attempt := range j.attempts {
--- a/internal/coordination/quota_shares.go
+++ b/internal/coordination/quota_shares.go
@@ -8,27 +8,27 @@
 	"reedtrack/internal/storage"
 )
 
-// A team's quota is divided among the shards: each shard's grant has a share of
-// it, and the holder starts no more than that share allows, without asking
-// anybody. All shares together are at most the team's limit, since only the
-// leader raises a share, by what no shard has (grant_quota.go), and only the
-// holder lowers it, after it has stopped using what it returns (this file). So
-// the limit is kept whichever of their writes arrive late or not at all.
-
-// smallShareReturnInterval is how often a shard returns a small part of a
-// team's quota: it is not worth a write each time, and would be idle while
-// others are short of it if it were kept for good.
+// A team's quota is divided among the shards: each shard's grant contains a share of
+// it, and the holder enforces that share locally, without coordination. The sum of all
+// shares never exceeds the team's limit, since only the leader raises a share, by quota
+// that no shard has (grant_quota.go), and only the holder lowers it, after it has stopped
+// using what it returns (this file). So the limit holds even if writes of either arrive
+// late or not at all.
+
+// smallShareReturnInterval is the minimum interval between returns of a small part of a
+// team's quota: a small part is not worth a write each time, but would stay unused while
+// other shards are short of it if it were never returned.
 const smallShareReturnInterval = 5 * time.Second
 
 const (
-	// smallShareParts is how many parts of a shard's even share of a team's
-	// limit there are: returning one of them or less is small.
+	// smallShareParts defines a small part of a team's quota: at most
+	// 1/smallShareParts of a shard's even share of the limit.
 	smallShareParts = 16
-	// amountTolerance is what amounts of a resource may differ by from rounding.
+	// amountTolerance is the rounding error allowed when amounts are compared.
 	amountTolerance = 1e-9
 )
 
-// quotaClaim returns what a shard uses and asks for of a team's quota.
+// quotaClaim returns a shard's usage of and demand for a team's quota.
 func (s *shard) quotaClaim(team string) quota.Demand {
 	return quota.Demand{
 		Used:      s.used[team],
@@ -38,7 +38,8 @@
 	}
 }
 
-// quotaClaim returns the same for a shard that another controller holds.
+// quotaClaim returns the usage of and demand for a team's quota of a shard that another
+// controller holds.
 func (status *ShardStatus) quotaClaim(team string) quota.Demand {
 	return quota.Demand{
 		Used:      status.Used[team],
@@ -48,7 +49,7 @@
 	}
 }
 
-// amountOf returns a team's amount; nil if there is none.
+// amountOf returns a team's amount, or nil if there is none.
 func amountOf(byTeam map[string]storage.Resources, team string) *storage.Resources {
 	amount, ok := byTeam[team]
 	if !ok {
@@ -57,7 +58,7 @@
 	return &amount
 }
 
-// divideQuota divides a team's quota among the shards by their claims.
+// divideQuota divides a team's quota among the shards according to their claims.
 func (n *Node) divideQuota(team string) []storage.Resources {
 	claims := make([]quota.Demand, n.operator.Shards)
 	for shard, claim := range n.quotaClaims(team) {
@@ -66,8 +67,8 @@
 	return quota.Divide(n.teams[team].limit, claims)
 }
 
-// quotaClaims iterates over the claims on a team's quota, by shard, of holders
-// whose status is known.
+// quotaClaims iterates over the shards whose status is known and their claims on a
+// team's quota.
 func (n *Node) quotaClaims(team string) iter.Seq2[int, quota.Demand] {
 	return func(yield func(int, quota.Demand) bool) {
 		for i := range n.operator.Shards {
@@ -83,9 +84,9 @@
 	}
 }
 
-// remoteShards iterates over the shards that other controllers report to hold.
-// The status of a former holder, which may be there beside its successor's, is
-// left out.
+// remoteShards iterates over the shards that other controllers report to hold. It
+// ignores statuses of former holders, which may be present beside those of their
+// successors.
 func (n *Node) remoteShards() iter.Seq[*ShardStatus] {
 	return func(yield func(*ShardStatus) bool) {
 		for _, status := range n.peerStatus {
@@ -102,7 +103,7 @@
 	}
 }
 
-// recentRemoteShards iterates over those of them whose status is recent.
+// recentRemoteShards iterates over the remote shards whose status is recent.
 func (n *Node) recentRemoteShards(now time.Time) iter.Seq[*ShardStatus] {
 	return func(yield func(*ShardStatus) bool) {
 		for shardStatus := range n.remoteShards() {
@@ -118,8 +119,8 @@
 	}
 }
 
-// lowerShares returns a shard's shares without what it returns to the leader,
-// and whether that is worth a write.
+// lowerShares returns a shard's shares after returning quota to the leader, and whether
+// that requires a write.
 func (n *Node) lowerShares(s *shard, shares map[string]storage.Resources, now time.Time) (next map[string]storage.Resources, lowered bool) {
 	unreported := s.unreportedCapacity()
 	next = map[string]storage.Resources{}
@@ -131,18 +132,18 @@
 				share = kept
 			}
 		}
-		// A lowered share whose write is not known to have succeeded is written
-		// until the record shows it: it is not used meanwhile, and would be
-		// idle for good if no shard were short of it any more.
+		// The write of a lowered share is retried until the record shows it: the
+		// shard no longer uses the difference, which would stay unused for good
+		// once no other shard is short of it.
 		next[team] = minAmount(share, s.shares[team])
 		lowered = lowered || next[team] != share
 	}
 	return next, lowered
 }
 
-// isWorthReturning reports whether what a shard has of a team's quota beyond
-// what it keeps is worth a write: GPUs and the whole share always, a small part
-// of the cores only now and then.
+// isWorthReturning reports whether the difference between a shard's share and the part
+// to keep is worth a write. GPUs and a whole share always are; a small part of the cores
+// is only every smallShareReturnInterval.
 func (n *Node) isWorthReturning(s *shard, team string, share, kept storage.Resources, now time.Time) bool {
 	if share.GPUs > kept.GPUs || kept.Cores == 0 && share.Cores > 0 {
 		return true
@@ -169,8 +170,8 @@
 	return storage.Resources{Cores: min(a.Cores, b.Cores), GPUs: min(a.GPUs, b.GPUs)}
 }
 
-// retainedShare returns what a shard keeps of a team's quota while another is
-// short: what it uses, or its fair share.
+// retainedShare returns the part of a team's quota that a shard keeps while another
+// shard is short: its usage or its fair share, whichever is larger.
 func (n *Node) retainedShare(s *shard, team string, share, unreported storage.Resources) storage.Resources {
 	used := addAmounts(s.used[team], unreported)
 	fairShare := n.divideQuota(team)[s.index]
@@ -180,10 +181,9 @@
 	}
 }
 
-// limitToFairShares caps what a shard starts for teams of which another shard
-// is short: capacity that is freed beyond its fair share is left to be
-// returned. Without that, a shard that is always full would keep its share for
-// good.
+// limitToFairShares caps a shard's share at its fair share for teams whose quota another
+// shard is short of, so that quota freed beyond the fair share is returned instead of used
+// again. Otherwise a shard that is always full would never return any.
 func (n *Node) limitToFairShares(s *shard) {
 	clear(s.shareCaps)
 	for team := range n.teams {
@@ -193,9 +193,9 @@
 	}
 }
 
-// hasShortageElsewhere reports whether a shard other than the given one wants more
-// of a team's quota than its share. A shard that counted itself would return a
-// share only to be granted it again, over and over.
+// hasShortageElsewhere reports whether a shard other than the given one requests more of
+// a team's quota than its share. If a shard counted its own shortage, it would repeatedly
+// return quota and be granted it again.
 func (n *Node) hasShortageElsewhere(team string, exceptShard int) bool {
 	limit := n.teams[team].limit
 	for i, claim := range n.quotaClaims(team) {
--- a/internal/coordination/scale_in.go
+++ b/internal/coordination/scale_in.go
@@ -12,14 +12,14 @@
 	"reedtrack/internal/storage"
 )
 
-// scaleIn marks machines for release that this shard has no more use for:
-// empty, and certain to be so.
+// scaleIn marks machines for release that are confirmed empty and to be replaced, silent
+// or idle.
 //
-// A silent machine is kept after its lease has expired for as long again: it
-// may only have been cut off, and spares a boot if it comes back. One that has
-// never reported is not idle but on its way. Machines of an unreachable zone,
-// or all while this controller is isolated, are kept for longer if jobs wait
-// that nothing else will serve sooner: they come back together.
+// A silent machine is kept for one more lease duration after its lease has expired: it may
+// only be disconnected, and saves a boot if it reconnects. A machine that has never
+// reported is not idle but still expected to report. Machines of an unreachable
+// zone, or all machines while this controller is isolated, are kept longer if jobs are
+// waiting: these machines return together, and nothing else will serve the jobs sooner.
 func (s *shard) scaleIn(input *planInput, now time.Time, leaseTimeout time.Duration, maxIdle func(machineKind) time.Duration) {
 	for _, m := range s.machines {
 		if m.releasing || !m.isConfirmedEmpty() {
@@ -32,7 +32,7 @@
 	}
 }
 
-// silentTimeout returns how long a silent machine is kept.
+// silentTimeout returns how long a silent machine is kept before its release.
 func (s *shard) silentTimeout(m *machine, input *planInput, leaseTimeout time.Duration) time.Duration {
 	cutOff := input.isolated || input.unreachableZones[m.lease.Zone]
 	if cutOff && len(s.queue) > 0 {
@@ -41,64 +41,63 @@
 	return silentLeaseTimeouts * leaseTimeout
 }
 
-// isConfirmedEmpty reports whether a machine is known to run nothing.
+// isConfirmedEmpty reports whether a machine is known to run no tasks.
 func (m *machine) isConfirmedEmpty() bool {
 	return m.isReconciled() && len(m.attempts) == 0 && len(m.orphans) == 0 && !m.runsUnreadableJob
 }
 
-// isToBeReplaced reports whether a machine gets no more tasks, whatever is
-// pending.
+// isToBeReplaced reports whether a machine gets no more tasks, even if some are pending.
 func (m *machine) isToBeReplaced() bool {
 	return m.removed || m.cordoned || m.slow || m.draining
 }
 
-// isSilentFor reports whether a machine whose lease has expired has been silent
-// for so long.
+// isSilentFor reports whether a machine whose lease has expired has been silent for
+// longer than the timeout.
 func (m *machine) isSilentFor(timeout time.Duration, now time.Time) bool {
 	return m.isExpired() && now.Sub(m.lastAnswered) > timeout
 }
 
-// isIdleFor reports whether a machine that sends heartbeats has run nothing for
-// so long.
+// isIdleFor reports whether a machine that sends heartbeats has run no tasks for longer
+// than the given duration.
 func (m *machine) isIdleFor(duration time.Duration, now time.Time) bool {
 	return !m.isExpired() && m.hasReported() && now.Sub(m.idleSince) > duration
 }
 
 const (
-	// silentLeaseTimeouts and cutOffLeaseTimeouts are how long silent machines
-	// are kept, in times of their workers' lease.
+	// silentLeaseTimeouts and cutOffLeaseTimeouts are how long silent machines are
+	// kept, as multiples of the lease duration of their workers.
 	silentLeaseTimeouts = 2
 	cutOffLeaseTimeouts = 6
-	// maxApplyDelay is how long a committed write may take to show in the
-	// copies before it is no longer waited for.
+	// maxApplyDelay is how long a holder waits for a committed write to show in its
+	// copy of the records.
 	maxApplyDelay = time.Second
-	// grantWriteInterval is how often a holder writes its shard's grant.
+	// grantWriteInterval is the minimum interval between writes of a shard's grant.
 	grantWriteInterval = 500 * time.Millisecond
 )
 
-// grantReduction is a write of a shard's grant without what the shard releases.
+// grantReduction is a write that removes released machines and returned quota from a
+// shard's grant.
 type grantReduction struct {
 	shard    *shard
 	txn      protocol.Txn
-	shares   map[string]storage.Resources // the shares left if the head is written; nil: it is not
+	shares   map[string]storage.Resources // the remaining shares; nil if the head record is not written
 	released []string                     // machines
 }
 
-// writeGrants writes the grants of this controller's shards without the
-// machines and shares that are released.
+// writeGrants removes released machines and returned quota from the grants of this
+// controller's shards.
 //
-// A holder may only take from its shard's grant, never add to it, and only while
-// the shard's lease and the record that it changes are as it knows them. So a
-// late write fails once the shard has another holder, or the leader has granted
-// more: it can't take away what was granted since.
+// A holder may only reduce its shard's grant, never extend it, and its writes are
+// conditional on the revisions of the shard's lease and of the records that it changes.
+// So a late write fails once the shard has another holder or the leader has extended the
+// grant, and can't remove what was granted since.
 func (n *Node) writeGrants(ctx context.Context) {
 	for _, reduction := range n.planGrantReductions() {
 		n.writeGrantReduction(ctx, reduction)
 	}
 }
 
-// planGrantReductions returns the writes that are due, and marks their shards as
-// being written.
+// planGrantReductions returns the writes that are due, and marks them as pending.
 func (n *Node) planGrantReductions() []*grantReduction {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -118,10 +117,10 @@
 	return reductions
 }
 
-// mayReduceGrant reports whether a shard's grant may be written now. A write
-// that has succeeded first has to show in the copy: another one before would
-// only fail. And changes are batched: with hundreds of machines something could
-// be released all the time, and job records have to be written too.
+// mayReduceGrant reports whether a shard's grant may be written now. The last successful
+// write has to show in the local copy first: another write before would fail. And changes
+// are batched: with hundreds of machines some could be released all the time, and the
+// writes of job records share the same budget.
 func (n *Node) mayReduceGrant(s *shard, now time.Time) bool {
 	if _, ok := n.records.Grants[s.index]; !ok || !n.canChangeGrant(s.index) || s.grantWritePending {
 		return false
@@ -132,8 +131,8 @@
 	return now.Sub(s.grantAttemptedAt) >= grantWriteInterval
 }
 
-// planGrantReduction returns the write of a shard's grant without what is
-// released; one without writes if nothing is.
+// planGrantReduction returns the grant reduction of a shard, which has no writes if
+// nothing is released.
 func (n *Node) planGrantReduction(s *shard, now time.Time) *grantReduction {
 	grant := n.records.Grants[s.index]
 	reduction := &grantReduction{shard: s}
@@ -154,9 +153,9 @@
 	return reduction
 }
 
-// addReducedChunks adds chunks without their released machines, no more than the
-// write budget allows: a transaction that waits for all that it could hold is
-// never sent while others are written, and released machines stay idle.
+// addReducedChunks adds writes of chunks without their released machines, up to the
+// available write budget: a transaction that waits until the budget allows its maximum
+// size is never sent while other writes use the budget, and released machines stay idle.
 func (n *Node) addReducedChunks(reduction *grantReduction, generation uint64) {
 	limits := n.storeLimits()
 	for _, chunk := range n.chunksToReduce(reduction.shard, generation) {
@@ -170,17 +169,16 @@
 	}
 }
 
-// add adds the write of one record, conditional on its revision.
+// add adds the write of one record, conditional on its revision being unchanged.
 func (r *grantReduction) add(unchanged protocol.Precondition, value any) {
 	r.txn.Preconditions = append(r.txn.Preconditions, unchanged)
 	r.txn.Writes = append(r.txn.Writes, protocol.Write{Put: unchanged.Key, Value: value})
 }
 
-// begin records that the write is about to be sent. It lowers the shares at
-// once: what is being released is not used any more, whether or not the answer
-// arrives. Nor does a later write raise them: the earlier one may still be
-// applied, and the capacity be granted to another shard. Only a newer record
-// does.
+// begin records that the write is about to be sent. It lowers the shares immediately:
+// returned quota is no longer used, whether or not the write is answered. A later write
+// doesn't raise them again, since the earlier one may still be applied and the quota
+// granted to another shard; only a newer record does.
 func (r *grantReduction) begin(now time.Time) {
 	if r.shares != nil {
 		r.shard.shares = r.shares
@@ -190,7 +188,7 @@
 	r.shard.grantAttemptedAt = now
 }
 
-// writeGrantReduction writes a shard's grant and records the outcome.
+// writeGrantReduction sends the write of a grant reduction and records the outcome.
 func (n *Node) writeGrantReduction(ctx context.Context, reduction *grantReduction) {
 	s := reduction.shard
 	revision, err := n.store.Txn(ctx, reduction.txn)
@@ -207,8 +205,8 @@
 	slog.Info("grant reduced", "shard", s.index, "machines", reduction.released, "err", err)
 }
 
-// splitReleased divides machine leases into those that are kept and the names
-// of those that are released.
+// splitReleased splits machine leases into those that are kept and the names of the
+// machines that are released.
 func (s *shard) splitReleased(leases []storage.MachineLease) (kept []storage.MachineLease, released []string) {
 	for _, lease := range leases {
 		if m := s.machines[lease.Machine]; m != nil && m.releasing {
@@ -227,8 +225,8 @@
 	released []string
 }
 
-// chunksToReduce lists the chunks that have machines to release, those with
-// most of them first.
+// chunksToReduce lists the chunks with released machines, those with the most released
+// machines first.
 func (n *Node) chunksToReduce(s *shard, generation uint64) []reducedChunk {
 	var reduced []reducedChunk
 	for k, chunk := range n.records.GrantChunks[s.index] {
--- a/internal/coordination/scale_out.go
+++ b/internal/coordination/scale_out.go
@@ -12,17 +12,17 @@
 	"reedtrack/internal/storage"
 )
 
-// scaleOutPlanner computes which machines a shard requests.
+// scaleOutPlanner computes the machines that a shard requests.
 type scaleOutPlanner struct {
 	shard         *shard
 	input         *planInput
 	bins          []scaleOutBin
-	maxNew        int           // how many more machines may be requested
-	suitableKinds []machineKind // kinds on which some of the tasks may run
+	maxNew        int           // number of machines that may still be requested
+	suitableKinds []machineKind // kinds on which any of the tasks may run
 }
 
-// scaleOutBin is a machine that tasks without a place are packed onto: one that
-// will soon take them, or a new one that is to be requested.
+// scaleOutBin is a machine that unplaced tasks are packed onto: one that is expected to
+// be available soon, or a new one to request.
 type scaleOutBin struct {
 	kind  machineKind
 	free  placement.Resources
@@ -30,18 +30,17 @@
 	isNew bool
 }
 
-// planScaleOut computes which machines to request for tasks that fit nowhere:
-// first booting machines are filled, then the best-scoring type is added for
-// each task that is left.
+// planScaleOut computes which machines to request for unplaced tasks: they are packed
+// onto booting machines first, then onto new machines of the best-scoring type.
 //
-// Tasks on reclaimed machines will need another machine; only one that is there
-// already, or boots, spares requesting one now.
+// Tasks on machines to be reclaimed will need other machines, so they are packed as
+// well: machines are requested for those that fit on none that exists or boots.
 func (s *shard) planScaleOut(unplaced, reclaimed []unplacedTasks, input *planInput, now time.Time) {
 	planner := &scaleOutPlanner{shard: s, input: input}
 	planner.addMachines(now)
 	bootingCount := planner.addBooting()
 	planner.maxNew = s.maxNewMachines(bootingCount, input)
-	withoutMachine := map[string]storage.Resources{} // by team: what no machine will take, booting ones included
+	withoutMachine := map[string]storage.Resources{} // by team: what fits on no machine, booting ones included
 	for _, tasks := range unplaced {
 		tasks.job.addNeed(withoutMachine, tasks.count-planner.pack(tasks))
 	}
@@ -53,13 +52,13 @@
 	s.scaleOut = planner.requests()
 }
 
-// addMachines adds machines of the shard that are not available now but are
-// expected to be soon.
+// addMachines adds machines of the shard that are unavailable now but expected to be
+// available soon.
 func (p *scaleOutPlanner) addMachines(now time.Time) {
 	for _, m := range p.shard.sortedMachines() {
-		// A late heartbeat most likely still comes. And a machine that has just
-		// been granted is about to report to this holder: without this, others
-		// would be requested in its place for that second.
+		// A late heartbeat will most likely still arrive. And a recently granted
+		// machine is about to report to this holder: without this, others would be
+		// requested in its place during that second.
 		isLate := m.health == failuredetector.Suspect || m.isRecentlyGranted(p.input.heartbeatInterval, now)
 		isUsable := !m.isExpired() && !m.cordoned && !m.slow && !m.releasing && m.reclaimAt.IsZero()
 		if isLate && isUsable {
@@ -68,19 +67,19 @@
 	}
 }
 
-// isRecentlyGranted reports whether a machine was granted under this holder's lease
-// so recently that its first heartbeat is not overdue.
+// isRecentlyGranted reports whether a machine was granted under this holder's lease so
+// recently that its first heartbeat is not overdue yet.
 func (m *machine) isRecentlyGranted(heartbeatInterval time.Duration, now time.Time) bool {
 	timing := failuredetector.Timing{HeartbeatInterval: heartbeatInterval}
 	return !m.hasReported() && !m.grantedAt.IsZero() && now.Sub(m.grantedAt) < timing.UnreachableAfter()
 }
 
-// addBooting adds the machines that boot for the shard, and returns how many.
+// addBooting adds the shard's booting machines, and returns their number.
 func (p *scaleOutPlanner) addBooting() int {
 	count := 0
 	for _, request := range p.shard.booting {
 		if p.input.unreachableZones[request.Kind.Zone] {
-			continue // nobody would receive its heartbeats
+			continue // their heartbeats would not arrive
 		}
 		size := p.input.machineSize(request.Kind.MachineType)
 		for range request.Count {
@@ -91,10 +90,10 @@
 	return count
 }
 
-// maxNewMachines returns how many machines may be requested. A full grant record
-// takes no more machines: they would stay idle and be released. And while hardly
-// any heartbeat arrives here, it is not known what is missing: then a few
-// machines are requested to find out.
+// maxNewMachines returns how many machines may be requested. A full grant record has no
+// space for more machines: they would stay idle and be released. And while this
+// controller is isolated, it is not known how many machines are lost: then only a few are
+// requested, as probes.
 func (s *shard) maxNewMachines(bootingCount int, input *planInput) int {
 	count := input.maxMachines - len(s.machines) - bootingCount
 	if input.isolated {
@@ -103,9 +102,9 @@
 	return count
 }
 
-// pack packs tasks of one job onto the bins, and adds a new one whenever none
-// has room, for as long as one may be requested. It returns for how many tasks
-// there is a machine already, be it one that boots.
+// pack packs tasks of one job onto the bins, and adds a new bin whenever none fits, as
+// long as more machines may be requested. It returns the number of tasks packed onto
+// existing or booting machines.
 func (p *scaleOutPlanner) pack(tasks unplacedTasks) (onKnownMachines int) {
 	j := tasks.job
 	kinds := j.suitableKinds(p.input)
@@ -135,7 +134,7 @@
 	return onKnownMachines
 }
 
-// addSuitableKinds adds kinds that are not listed yet.
+// addSuitableKinds adds the kinds that suitableKinds lacks.
 func (p *scaleOutPlanner) addSuitableKinds(kinds []machineKind) {
 	for _, kind := range kinds {
 		if !slices.Contains(p.suitableKinds, kind) {
@@ -144,7 +143,7 @@
 	}
 }
 
-// addNew adds a machine to request, and returns the index of its bin.
+// addNew adds a bin for a machine to request, and returns its index.
 func (p *scaleOutPlanner) addNew(kind machineKind) int {
 	size := p.input.machineSize(kind.MachineType)
 	p.bins = append(p.bins, scaleOutBin{kind: kind, free: size, size: size, isNew: true})
@@ -152,7 +151,7 @@
 	return len(p.bins) - 1
 }
 
-// requests counts the machines to request by kind.
+// requests returns the machines to request, by kind.
 func (p *scaleOutPlanner) requests() []machineRequest {
 	counts := map[machineKind]int{}
 	for _, bin := range p.bins {
@@ -174,7 +173,7 @@
 	slices.SortFunc(requests, func(a, b machineRequest) int { return compareKinds(a.Kind, b.Kind) })
 }
 
-// compareKinds orders kinds by type, zone and price class.
+// compareKinds orders kinds by type and zone, and on-demand before spot machines.
 func compareKinds(a, b machineKind) int {
 	return cmp.Or(
 		cmp.Compare(a.MachineType, b.MachineType),
@@ -214,8 +213,8 @@
 	return kinds
 }
 
-// canHostLater reports whether a job's tasks fit on some machine of the shard
-// once it is free, or machines boot: then they can wait.
+// canHostLater reports whether a job's tasks can wait for capacity: they would fit on a
+// machine of the shard if it were empty, or machines are booting.
 func (s *shard) canHostLater(j *job) bool {
 	for _, m := range s.machines {
 		if m.isSchedulable() && m.size.Fits(j.need) && j.allows(m.lease.MachineType, m.lease.Zone, m.lease.Spot) {
@@ -225,9 +224,9 @@
 	return len(s.booting) > 0
 }
 
-// selectKind selects what to request: the best-scoring type among the candidate
-// kinds, in the zone with the fewest machines of the shard; false if there is no
-// candidate.
+// selectKind selects the kind of machine to request for a job: the best-scoring type
+// among the candidate kinds, in the zone with the fewest machines of the shard. It returns
+// false if there is no candidate.
 func (s *shard) selectKind(j *job, kinds []machineKind, input *planInput) (machineKind, bool) {
 	candidates := s.candidateKinds(j, kinds, input)
 	if len(candidates) == 0 {
@@ -242,9 +241,8 @@
 	return candidates[i], true
 }
 
-// candidateKinds lists the kinds that may be requested for a job: spot machines
-// where any can be had, and on-demand machines otherwise, unless the job can
-// wait for a spot machine.
+// candidateKinds lists the kinds that may be requested for a job: spot machines if
+// available, otherwise on-demand machines, unless the job can wait for a spot machine.
 func (s *shard) candidateKinds(j *job, kinds []machineKind, input *planInput) []machineKind {
 	var candidates []machineKind
 	for _, spot := range []bool{true, false} {
--- a/internal/coordination/service_levels.go
+++ b/internal/coordination/service_levels.go
@@ -11,21 +11,20 @@
 	"reedtrack/internal/storage"
 )
 
-// serviceLevels are the recent service levels of classes and teams, derived
-// from the records of all shards: every controller arrives at the same, and a
-// new one knows of the jobs that wait.
+// serviceLevels are the recent service levels of classes and teams. They are derived from
+// the records of all shards, so that all controllers compute the same levels and a new
+// controller accounts for waiting jobs.
 type serviceLevels struct {
 	byClass map[string]policy.ServiceLevel
 	byTeam  map[string]policy.ServiceLevel
 }
 
-// newServiceLevels returns service levels of which nothing is recorded.
+// newServiceLevels returns empty service levels.
 func newServiceLevels() serviceLevels {
 	return serviceLevels{byClass: map[string]policy.ServiceLevel{}, byTeam: map[string]policy.ServiceLevel{}}
 }
 
-// record counts a job for its class and team; met tells whether it met its
-// deadline.
+// record counts a job for its class and team; met tells whether it met its deadline.
 func (s serviceLevels) record(record *storage.Job, met bool, now time.Time) {
 	recordLevel(s.byClass, record.Spec.Class, met, now)
 	recordLevel(s.byTeam, record.Spec.Team, met, now)
@@ -38,18 +37,18 @@
 	levels[name] = level
 }
 
-// isBelowMinimum reports whether a job's class or team is served below its
+// isBelowMinimum reports whether the service level of a job's class or team is below its
 // minimum.
 func (s serviceLevels) isBelowMinimum(j *job) bool {
 	return s.byClass[j.spec.Class].IsBelowMinimum() || s.byTeam[j.spec.Team].IsBelowMinimum()
 }
 
-// completionObjective is the kind of objective, in the settings, that says when
-// jobs of a class should be done.
+// completionObjective is the kind of objective, as named in the settings, for the time
+// within which jobs of a class should complete.
 const completionObjective = "finished"
 
-// deadlineSeconds returns when a job should be done, in seconds after its
-// submission: the earliest that its user or its class asks for, or infinity.
+// deadlineSeconds returns a job's deadline in seconds after its submission: the earlier of
+// the one in its spec and the one of its class, or infinity if there is none.
 func deadlineSeconds(record *storage.Job, objectives []config.Objective) float64 {
 	deadline := math.Inf(1)
 	if record.Spec.DeadlineSeconds != nil {
@@ -63,8 +62,8 @@
 	return deadline
 }
 
-// recordServiceLevel counts a job whose record is gone. One that its user
-// cancelled counts neither as served nor as missed.
+// recordServiceLevel counts a job whose record was deleted. A cancelled job counts neither
+// as met nor as missed.
 func (n *Node) recordServiceLevel(jr *clusterstate.JobRecord) {
 	if math.IsInf(jr.DeadlineSeconds, 1) {
 		return
@@ -78,14 +77,14 @@
 	n.serviceLevels.record(&jr.Record, !n.isPastDeadline(jr, now), now)
 }
 
-// isPastDeadline reports whether a job's deadline has passed, counted from when
-// its times began to count.
+// isPastDeadline reports whether a job's deadline has passed, counted from the time at
+// which it became startable.
 func (n *Node) isPastDeadline(jr *clusterstate.JobRecord, now time.Time) bool {
 	return now.Sub(n.monotonicTime(jr.StartableMS())).Seconds() > jr.DeadlineSeconds
 }
 
-// currentServiceLevels returns the recorded service levels, with all jobs whose
-// deadline has passed counted as missed.
+// currentServiceLevels returns the recorded service levels, decayed to now, with all
+// unfinished jobs past their deadline counted as missed.
 func (n *Node) currentServiceLevels(now time.Time) serviceLevels {
 	levels := serviceLevels{maps.Clone(n.serviceLevels.byClass), maps.Clone(n.serviceLevels.byTeam)}
 	for _, byName := range []map[string]policy.ServiceLevel{levels.byClass, levels.byTeam} {
--- a/internal/coordination/service_levels_test.go
+++ b/internal/coordination/service_levels_test.go
@@ -14,8 +14,8 @@
 	"reedtrack/internal/storage"
 )
 
-// serviceLevelNode returns a controller that has one shard and deadlines for
-// jobs of two classes, and a function that adds a live job.
+// serviceLevelNode returns a controller with one shard and completion objectives for two
+// classes, and a function that adds a job record.
 func serviceLevelNode() (n *Node, s *shard, addJob func(id, class string, age time.Duration)) {
 	w := newWorld(1, nil)
 	w.settings.Deployment.Objectives = []config.Objective{{Kind: "finished", Class: "slow", WithinS: 100}, {Kind: "finished", Class: "quick", WithinS: 10}}
@@ -34,17 +34,16 @@
 	}
 }
 
-// What ended in time and what did not counts for its class, as does what should
-// have ended by now; what a user cancelled does not. A new controller knows of
-// the jobs that wait too long.
+// Completed jobs count as met or missed for their class, and unfinished jobs past their
+// deadline as missed; cancelled jobs don't count.
 func TestServiceLevelsAreCounted(t *testing.T) {
 	n, s, addJob := serviceLevelNode()
 	addJob("wk-1", "slow", 50*time.Second)  // completes in time
 	addJob("wk-2", "slow", 150*time.Second) // completes too late
 	addJob("wk-3", "slow", 150*time.Second) // cancelled
-	addJob("wk-4", "slow", 150*time.Second) // still waits
-	addJob("wk-5", "slow", 50*time.Second)  // has time
-	addJob("wk-6", "quick", 50*time.Second) // still waits
+	addJob("wk-4", "slow", 150*time.Second) // not completed
+	addJob("wk-5", "slow", 50*time.Second)  // deadline not reached
+	addJob("wk-6", "quick", 50*time.Second) // not completed
 	for _, id := range []string{"wk-1", "wk-2"} {
 		s.jobs[id].markDone(0)
 	}
@@ -63,18 +62,18 @@
 	}
 }
 
-// Work of a class below its minimum service level is not preempted for work
-// that is merely urgent, but is for work within a guarantee; and no task is
-// preempted more often than the bound, so that it ends some day.
+// Tasks of a class below its minimum service level are preempted only for jobs within a
+// guarantee, not for merely urgent ones; and no task is preempted more than
+// policy.MaxPreemptions times, so that it eventually completes.
 func TestPreemptionVictims(t *testing.T) {
 	for _, c := range []struct {
 		name            string
 		lateJobs        int
-		preemptions     int  // of the task before
+		preemptions     int  // of the task so far
 		withinGuarantee bool // of the preemptor
 		want            bool // preempted
 	}{
-		{"served", 0, 0, false, true},
+		{"above the minimum", 0, 0, false, true},
 		{"below the minimum", 5, 0, false, false},
 		{"below the minimum, for a guarantee", 5, 0, true, true},
 		{"preempted before", 0, policy.MaxPreemptions - 1, false, true},
@@ -106,15 +105,15 @@
 	}
 }
 
-// What boots is known by count only: the remaining boot time is computed from
-// when the counts grew, the oldest machines coming first.
+// Booting machines are known only by count: the remaining boot time is computed from the
+// times at which the count grew, and the oldest machines are assumed to finish first.
 func TestRemainingBootSeconds(t *testing.T) {
 	s := newShard(0, storage.ShardLease{FencingToken: 1}, 1, time.Time{})
 	const bootSeconds = 20
 	kind, now := machineKind{"small", "a", true}, time.Now()
-	for _, c := range []struct { // one after the other
+	for _, c := range []struct { // applied in sequence
 		after time.Duration
-		count int // of machines that boot
+		count int // of booting machines
 		want  float64
 	}{
 		{0, 10, 20},
@@ -133,7 +132,7 @@
 		}
 		s.setBooting(booting, now)
 		if got := s.remainingBootSeconds(machineRequest{kind, c.count}, bootSeconds, now); math.Abs(got-c.want) > 1e-9 {
-			t.Errorf("%d boot: %v s left, want %v", c.count, got, c.want)
+			t.Errorf("%d machines booting: %v s left, want %v", c.count, got, c.want)
 		}
 	}
 }
--- a/internal/coordination/shard.go
+++ b/internal/coordination/shard.go
@@ -9,24 +9,24 @@
 	"reedtrack/internal/storage"
 )
 
-// shard is a unit of jobs, machine leases and quota shares that this controller
-// holds.
+// shard is a unit of jobs, machine leases and quota shares that this controller holds.
 //
 // Its life cycle:
 //
-//	acquired    newShard, when the shard's lease names this controller: its
+//	acquired    by newShard, when the shard's lease names this controller: the
 //	            machines may run tasks of an earlier holder, so jobs older than
-//	            the lease are unconfirmed and machines that have not reported
+//	            the lease are unconfirmed, and machines that have not reported
 //	            count in full against every quota
-//	reconciled  updateReconciled, once each of its machines has reported or
-//	            expired: what is not listed is absent, and all jobs are confirmed
-//	lost        when the lease names another holder, or has a newer revision: the
-//	            Node discards the shard, and with it all that was known
+//	reconciled  by updateReconciled, once each of the machines has reported or
+//	            expired: tasks that no heartbeat lists are absent, and all jobs
+//	            are confirmed
+//	lost        when the lease names another holder or has a newer revision: the
+//	            Node discards the shard and all its state
 //
-// A machine granted under the present lease leaves the shard reconciled; one
-// granted earlier that shows up late makes it acquired again, but for the jobs
-// that are confirmed already. What is in the shard has life cycles of its own:
-// see job, machine and taskAttempt.
+// A machine granted under the current lease leaves the shard reconciled; one that was
+// granted earlier and appears late returns the shard to acquired, except for jobs that
+// are already confirmed. For the life cycles of the shard's content see job, machine and
+// taskAttempt.
 type shard struct {
 	index        int
 	fencingToken uint64
@@ -36,56 +36,54 @@
 	attemptCount uint64 // attempts placed under this lease
 
 	machines    map[string]*machine
-	machineList []*machine // machines by name; nil: to be sorted again
-	// All machines that may run tasks which no heartbeat has reported, and
-	// perhaps some that no longer do. It is kept as a set so that a heartbeat
-	// does not cost a look at every machine.
+	machineList []*machine // machines sorted by name; nil if out of date
+	// All machines that may run unreported tasks, and possibly some that no
+	// longer do. The set avoids an iteration over all machines for each heartbeat.
 	unconfirmed map[*machine]bool
 
 	jobs  map[string]*job
 	queue []*job // jobs with pending tasks, in the order of the last plan
-	// Jobs whose records can't be decoded: they are left as they are.
+	// Jobs whose records can't be decoded, which are left unchanged.
 	unreadable map[string]bool
 
 	// Quota, by team.
-	shares    map[string]storage.Resources // what the shard may use
-	used      map[string]storage.Resources // what its attempts use
-	shareCaps map[string]storage.Resources // fair shares of teams that another shard is short of
+	shares    map[string]storage.Resources // limits of the shard's usage
+	used      map[string]storage.Resources // usage of its attempts
+	shareCaps map[string]storage.Resources // fair shares, for teams whose quota another shard is short of
 
-	// What the leader last answered.
+	// From the leader's last reply.
 	booting        []machineRequest
 	bootingVersion uint64
 	bootBatches    map[machineKind][]bootBatch // batches of booting machines, oldest first
 
-	// What this controller asks of the leader, as the last plan found it.
+	// Demand reported to the leader, as of the last plan.
 	scaleOut      []machineRequest
-	desired       map[string]storage.Resources // by team: used and pending
-	smallestTask  map[string]storage.Resources // the least that a pending task needs, by team
+	desired       map[string]storage.Resources // by team: usage plus needs of pending tasks
+	smallestTask  map[string]storage.Resources // by team: the minimum that a pending task needs
 	suitableKinds []machineKind
 
-	// What the other controllers are told of this shard's machines.
-	stalls             map[string]*shareStall       // shares that no machine can use, by team
-	startable          map[string]storage.Resources // what of desired there are machines for, of teams whose share is stalled
-	spareCapacity      []spareCapacity              // free capacity that no task of the shard takes
-	migrationCheckedAt time.Time                    // when it was last looked whether jobs should go to room in another shard
+	// Reported to the other controllers, with the state from which it is derived.
+	stalls             map[string]*shareStall       // by team: shares for which the shard lacks machines
+	startable          map[string]storage.Resources // the part of desired that the shard has machines for, for teams whose share is stalled
+	spareCapacity      []spareCapacity              // free capacity that no pending task of the shard can use
+	migrationCheckedAt time.Time                    // when migrations to spare capacity elsewhere were last checked
 
 	// Writes of the grant, see writeGrants.
 	grantWritePending bool      // a write of the grant has not been answered yet
 	grantRevision     uint64    // revision of the last grant write that succeeded
-	grantWrittenAt    time.Time // when that one succeeded
+	grantWrittenAt    time.Time // when that write succeeded
 	grantAttemptedAt  time.Time // when the last write began
 	sharesLoweredAt   time.Time // when the quota shares were last lowered
 
-	// What wakes the loops.
+	// Conditions that wake the loops.
 	capacityFreed bool // capacity has been freed since tasks were last placed
-	dirty         bool // something changed that the next plan or write should not wait for
+	dirty         bool // a change requires a plan or write without delay
 
 	latency *latency.Recorder
-	guards  dispatch.DisabledGuards // disabled one at a time by tests
+	guards  dispatch.DisabledGuards // tests disable them one at a time
 }
 
-// newShard returns a shard that this controller has just acquired, without
-// machines and jobs.
+// newShard returns a newly acquired shard without machines and jobs.
 func newShard(index int, record storage.ShardLease, revision uint64, now time.Time) *shard {
 	return &shard{
 		index:        index,
@@ -106,8 +104,8 @@
 	}
 }
 
-// machineToken returns the fencing token that workers of this machine are
-// given: the newest of the shard's, that of the machine lease and that of a fence.
+// machineToken returns the fencing token to send to the workers of a machine: the newest
+// of the tokens of the shard, of the machine lease and of a fence.
 func (s *shard) machineToken(m *machine) uint64 {
 	return max(s.fencingToken, m.lease.FencingToken, m.fenceToken)
 }
@@ -123,7 +121,7 @@
 	for _, lease := range grant.Machines {
 		granted[lease.Machine] = true
 		known := s.machines[lease.Machine]
-		// A newer token: the machine was released and granted again.
+		// A newer token means that the machine was released and granted again.
 		if known == nil || lease.FencingToken > known.lease.FencingToken {
 			size, _ := machineSize(lease.MachineType)
 			s.addMachine(lease, size, now)
@@ -145,7 +143,7 @@
 	s.reconciled = s.reconciled && grantedNow
 }
 
-// removeMachine removes a machine that the grant lacks, with its tasks.
+// removeMachine removes a machine that is no longer granted, with its tasks.
 func (s *shard) removeMachine(m *machine) {
 	for _, attempt := range m.attempts {
 		s.dropAttempt(attempt)
@@ -153,8 +151,8 @@
 	delete(s.machines, m.lease.Machine)
 }
 
-// unreportedCapacity sums the free capacity of machines that may run unreported
-// tasks: it counts in full against every team's quota.
+// unreportedCapacity sums the free capacity of machines that may run unreported tasks. It
+// counts in full against every team's quota.
 func (s *shard) unreportedCapacity() storage.Resources {
 	var total storage.Resources
 	for m := range s.unconfirmed {
@@ -168,8 +166,8 @@
 	return total
 }
 
-// updateReconciled marks the shard as reconciled once every machine is; from
-// then on a task that no heartbeat lists is absent.
+// updateReconciled marks the shard as reconciled once every machine is; from then on, tasks
+// that no heartbeat lists are absent.
 func (s *shard) updateReconciled() {
 	if s.reconciled {
 		return
@@ -186,7 +184,7 @@
 	}
 }
 
-// bootingCount counts the machines that boot for the shard.
+// bootingCount returns the number of the shard's booting machines.
 func (s *shard) bootingCount() int {
 	count := 0
 	for _, request := range s.booting {
--- a/internal/coordination/shard_room.go
+++ b/internal/coordination/shard_room.go
@@ -7,16 +7,17 @@
 	"reedtrack/internal/placement"
 )
 
-// spareCapacity is the free capacity of the machine of its kind that has the most.
+// spareCapacity is the free capacity of the machine with the most free capacity among
+// those of its kind.
 type spareCapacity struct {
 	Kind machineKind         `cbor:"Kind"`
 	Free placement.Resources `cbor:"Free"`
 }
 
-// updateSpareCapacity records where the shard has room that none of its own tasks takes:
-// after a plan that is what is free, since the plan has placed all that fits and
-// is within its team's share. Of each kind the machine with the most free cores
-// counts, or cards.
+// updateSpareCapacity records the shard's free capacity that none of its own tasks can use:
+// after a plan this is all free capacity, since the plan has placed every task that fits
+// and is within its team's share. Of each kind it records the machine with the most free
+// accelerators, then cores.
 func (p *planner) updateSpareCapacity() {
 	most := map[machineKind]placement.Resources{}
 	for _, m := range p.machines {
@@ -35,7 +36,7 @@
 	slices.SortFunc(p.shard.spareCapacity, func(a, b spareCapacity) int { return compareKinds(a.Kind, b.Kind) })
 }
 
-// hasMoreCapacity compares cards first, since fewer machines have them.
+// hasMoreCapacity compares accelerators first, since fewer machines have them.
 func hasMoreCapacity(a, b placement.Resources) bool {
 	return cmp.Or(
 		cmp.Compare(a[placement.Cards], b[placement.Cards]),
--- a/internal/coordination/shard_selection.go
+++ b/internal/coordination/shard_selection.go
@@ -11,28 +11,28 @@
 	"reedtrack/internal/storage"
 )
 
-// maxPendingTime is how long a job that this controller has assigned to a shard
-// counts there without a record: if none shows by then, its write is taken to
-// have failed. Twice the time that a committed write takes to show leaves as
-// much again for the write itself.
+// maxPendingTime is how long a job that this controller has assigned to a shard counts
+// towards the shard's demand before its record appears; after that its write is assumed to
+// have failed. It is twice the time that a committed write may take to show, which leaves
+// the same time for the write itself.
 const maxPendingTime = 2 * maxApplyDelay
 
-// pendingJob is a job that this controller has assigned to a shard and whose
-// record does not show yet.
+// pendingJob is a job that this controller has assigned to a shard and whose record does
+// not show yet.
 type pendingJob struct {
 	demand  demand
 	shard   int
 	addedAt time.Time
 }
 
-// demand is what a job, or a team, asks for.
+// demand is the demand of a job or a team.
 type demand struct {
 	team     string
 	cores    float64
-	machines float64 // machines of the type that suits it best
+	machines float64 // in machines of the best-scoring type
 }
 
-// demandOf returns the demand of a number of a job's tasks.
+// demandOf returns the demand of the given number of a job's tasks.
 func (n *Node) demandOf(spec *protocol.Job, tasks int) demand {
 	demand := demand{team: spec.Team, cores: float64(tasks) * spec.Cores}
 	need := placement.Resources{spec.Cores, spec.GPUs, spec.MemoryGB}
@@ -42,8 +42,8 @@
 	return demand
 }
 
-// bestMachineType selects the machine type that suits a job's tasks best; -1 if
-// none does.
+// bestMachineType returns the index of the best-scoring machine type for a job's tasks, or
+// -1 if none is allowed and large enough.
 func (n *Node) bestMachineType(spec *protocol.Job, need placement.Resources) int {
 	params := placement.UCfit{A: n.operator.UCfitA, B: n.operator.UCfitB, C: n.operator.UCfitC}
 	return params.SelectBest(len(n.records.MachineTypes), func(i int) (placement.Resources, placement.Resources, bool) {
@@ -53,7 +53,7 @@
 	})
 }
 
-// dominantShare returns the largest share of a machine that a task needs of any
+// dominantShare returns the largest fraction of a machine that a task needs of any
 // resource.
 func dominantShare(need, size placement.Resources) float64 {
 	share := 0.0
@@ -68,11 +68,11 @@
 // demandSummary is the remaining demand of all jobs.
 type demandSummary struct {
 	shards   []shardLoad
-	machines float64           // machines that all demand within the teams' limits takes
-	byTeam   map[string]demand // demand of each team, whatever its limit
+	machines float64           // machines needed for all demand within the teams' limits
+	byTeam   map[string]demand // demand of each team, regardless of its limit
 }
 
-// add adds a job's demand to its team's and its shard's.
+// add adds a job's demand to that of its team and its shard.
 func (d *demandSummary) add(shardIndex int, more demand) {
 	if shardIndex < len(d.shards) {
 		d.shards[shardIndex].demanded += more.cores
@@ -83,8 +83,7 @@
 	d.byTeam[more.team] = total
 }
 
-// summarizeDemand sums the remaining demand of all jobs, and the capacity of all
-// shards.
+// summarizeDemand sums the remaining demand of all jobs and the capacity of all shards.
 func (n *Node) summarizeDemand(now time.Time) demandSummary {
 	summary := demandSummary{shards: n.shardCapacities(), byTeam: map[string]demand{}}
 	for _, jr := range n.records.Jobs {
@@ -102,8 +101,7 @@
 		summary.add(pending.shard, pending.demand)
 	}
 	for name, total := range summary.byTeam {
-		// What a team asks for beyond its limit needs no machines: none will
-		// run it.
+		// Demand beyond a team's limit needs no machines, since it is not started.
 		if limit := n.teams[name].limit.Cores; limit > 0 && total.cores > limit {
 			total.machines *= limit / total.cores
 		}
@@ -112,8 +110,8 @@
 	return summary
 }
 
-// shardCapacities returns the capacity of all shards: of the machines that their
-// records grant them, and of those that boot for them.
+// shardCapacities returns the capacity of each shard: that of its granted and of its
+// booting machines.
 func (n *Node) shardCapacities() []shardLoad {
 	shards := make([]shardLoad, n.operator.Shards)
 	for i := range shards {
@@ -130,7 +128,7 @@
 	return shards
 }
 
-// bootingCores sums the cores of machines that boot for a shard.
+// bootingCores sums the cores of a shard's booting machines.
 func (n *Node) bootingCores(s *shard) float64 {
 	cores := 0.0
 	for _, request := range s.booting {
@@ -139,12 +137,11 @@
 	return cores
 }
 
-// selectShard selects the shard of a new job. As many shards are open as it
-// takes for each record to hold its machines and for each holder to have
-// processor time to spare: work that one shard can serve stays together, since
-// machines that are split among shards are left partly empty in each. Of the
-// open ones it selects the shard with the smallest shortage or, when no more
-// machines are to be had, the lowest load.
+// selectShard selects the shard of a new job. It opens only as many shards as are needed
+// for the grant records to hold all machines, and skips shards whose holders are overloaded:
+// work that one shard can serve stays together, since machines split among shards are left
+// partly empty in each. Of the open shards it selects the one with the smallest shortage
+// or, if no more machines are available, the lowest load.
 func (n *Node) selectShard(j *protocol.Job, now time.Time) int {
 	summary := n.summarizeDemand(now)
 	jobDemand := n.demandOf(j, j.Tasks)
@@ -154,7 +151,7 @@
 		machinesNeeded = 0
 	}
 	open := n.openShards(n.shardsFor(machinesNeeded))
-	// Controllers that see no difference begin with different shards.
+	// If shards are equal, controllers start with different ones.
 	best := open[n.ordinal%len(open)]
 	for k := range open {
 		i := open[(n.ordinal+k)%len(open)]
@@ -168,16 +165,16 @@
 	return best
 }
 
-// shardsFor returns how many shards a number of machines takes, and those that
-// are granted already.
+// shardsFor returns the number of shards needed for the given number of machines, or for
+// those already granted if these are more.
 func (n *Node) shardsFor(machinesNeeded float64) int {
 	machines := max(machinesNeeded, float64(len(n.records.ShardOfMachine)))
 	machinesPerShard := min(n.operator.FillMachines, n.maxMachinesPerShard())
 	return max(1, int(math.Ceil(machines/float64(machinesPerShard))))
 }
 
-// openShards returns the first shards, as many as asked for, whose holders are
-// not overloaded; all shards if the holders of all are.
+// openShards returns the first count shards whose holders are not overloaded, or all
+// shards if all holders are.
 func (n *Node) openShards(count int) []int {
 	var all, notOverloaded []int
 	for i := 0; i < n.operator.Shards && len(notOverloaded) < count; i++ {
@@ -192,8 +189,8 @@
 	return all
 }
 
-// isCapacityExhausted reports whether the cloud has no capacity of any kind
-// that would be requested for a job.
+// isCapacityExhausted reports whether the cloud has no capacity of any kind that would be
+// requested for a job.
 func (n *Node) isCapacityExhausted(j *protocol.Job) bool {
 	candidate := n.newJob(&clusterstate.JobRecord{Record: storage.Job{Spec: *j}})
 	found := false
--- a/internal/coordination/share_stall.go
+++ b/internal/coordination/share_stall.go
@@ -6,33 +6,33 @@
 	"reedtrack/internal/storage"
 )
 
-// A shard may have a share of a team's quota and no machine for the tasks that
-// wait for it, when the cloud has none to give: the share is stalled. It would
-// idle, while another shard has room for tasks of the team and no share. So the
-// quota is divided first by what the shards have machines for
-// (quota.Demand.Startable), and a stalled share counts as far as it is used.
+// A shard may have a share of a team's quota but no machine for the team's pending tasks,
+// when the cloud has no capacity: the share is stalled. It would stay unused while another
+// shard has capacity for tasks of the team and no share. So the quota is divided first by
+// what the shards have machines for (quota.Demand.Startable), and a stalled share counts
+// only as far as it is used.
 //
-// That a share has idled for a while shows it better than a look at the free
-// capacity would: on machines that are always full a share is used as soon as a
-// task ends there. And it ends by itself, so that the shard is not left without
-// a share for good, and gets its part again to find out.
+// A stall is detected from the time for which a share has been unused rather than from the
+// free capacity: on machines that are always full, a share is used as soon as a task ends
+// there. A stall ends after a while, so that the shard gets its part again and can retry;
+// otherwise it could stay without a share for good.
 
 const (
-	// stallHeartbeats is for how many heartbeat intervals a share has to have
-	// waited for a machine to count as stalled: a task that ends shows within one.
+	// stallHeartbeats is the number of heartbeat intervals without a machine after
+	// which a share counts as stalled: the end of a task shows within one.
 	stallHeartbeats = 2
-	// stallEndHeartbeats is after how many heartbeat intervals a stalled share
-	// counts in full again.
+	// stallEndHeartbeats is the number of heartbeat intervals after which a stalled
+	// share counts in full again.
 	stallEndHeartbeats = 12
 )
 
-// shareStall is a share of a team's quota in a shard that lacks machines.
+// shareStall tracks a share of a team's quota for which the shard lacks machines.
 type shareStall struct {
 	since     time.Time // since when tasks within the share have had no machine
-	stalledAt time.Time // when it began to count as stalled; zero: it does not yet
+	stalledAt time.Time // when it began to count as stalled; zero if it does not yet
 }
 
-// updateStalls records which shares are stalled, by what the plan found no
+// updateStalls records which shares are stalled, given the needs that the plan found no
 // machine for, booting ones included.
 func (s *shard) updateStalls(withoutMachine map[string]storage.Resources, heartbeatInterval time.Duration, now time.Time) {
 	clear(s.startable)
@@ -59,9 +59,9 @@
 	}
 }
 
-// hasEnded reports whether a share is not stalled, or to be tried again. Once it
-// is, that nothing is without a machine shows nothing: no task is within a
-// share that has been returned.
+// hasEnded reports whether a share is no longer stalled, or is to be retried. Once it
+// counts as stalled, only time ends the stall: the absence of tasks without a machine has
+// no meaning then, since no task is within a share that has been returned.
 func (stall *shareStall) hasEnded(lacking storage.Resources, heartbeatInterval time.Duration, now time.Time) bool {
 	if stall.stalledAt.IsZero() {
 		return lacking == (storage.Resources{})
--- a/internal/coordination/share_stall_test.go
+++ b/internal/coordination/share_stall_test.go
@@ -11,8 +11,8 @@
 	"reedtrack/internal/storage"
 )
 
-// stalledShard returns a shard with a share of red's quota, a job that waits and no
-// machine, and what it plans by: the cloud has none to give.
+// stalledShard returns a shard with a share of red's quota, a pending job and no machine,
+// and the input of its plans, by which the cloud has no capacity.
 func stalledShard(now time.Time) (*shard, *planInput) {
 	s, input := busyShard(0, now)
 	j := &job{id: "wk-1", revision: 9, submittedAt: now, need: placement.Resources{2, 0, 2}}
@@ -23,11 +23,10 @@
 	return s, input
 }
 
-// A share that no machine can use counts for nothing after two heartbeats, so that a
-// shard with machines gets it, and in full again after twelve more. What happened: shard
-// 0 had 3 cores of red's quota, no machine and a job waiting (`shares red 3 uses 0 wants
-// 12`), shard 2 had used up its 3 and had 13 of 16 cores free; neither changed for as
-// long as shard 0 waited for the cloud, since a quota was divided by what was wanted.
+// A share without machines counts as zero after two heartbeat intervals, so that a shard
+// with machines gets it, and in full again after twelve more. Guards against a quota that
+// is divided by demand alone: shard 0 kept 3 cores without a machine for as long as it
+// waited for the cloud, while shard 2 had used up its 3 and had 13 of 16 cores free.
 func TestStalledShareIsNotStartable(t *testing.T) {
 	now := time.Now()
 	s, input := stalledShard(now)
@@ -49,12 +48,11 @@
 		}
 	}
 	if s.desired["red"].Cores != 80 {
-		t.Errorf("desires %v: what it wants does not change", s.desired["red"])
+		t.Errorf("desired %v, want 80 cores: a stall must not change the demand", s.desired["red"])
 	}
 }
 
-// A share that waits for machines which boot is not stalled, nor is one whose tasks are
-// placed.
+// A share whose tasks wait for booting machines is not stalled.
 func TestShareWithMachinesIsNotStalled(t *testing.T) {
 	now := time.Now()
 	s, input := stalledShard(now)
@@ -63,12 +61,12 @@
 	for heartbeat := range 5 {
 		s.plan(input, true, now.Add(time.Duration(heartbeat)*input.heartbeatInterval))
 		if len(s.startable) > 0 || len(s.stalls) > 0 {
-			t.Fatalf("stalled after %d heartbeats, though a machine boots", heartbeat)
+			t.Fatalf("stalled after %d heartbeats though a machine is booting", heartbeat)
 		}
 	}
 }
 
-// The stalled share goes to the shard that can use it: its holder returns it.
+// The holder of a shard returns a stalled share, which goes to a shard that can use it.
 func TestStalledShareIsReturned(t *testing.T) {
 	now := time.Now()
 	w := newWorld(1, nil)
@@ -80,20 +78,20 @@
 		Desired: map[string]storage.Resources{"red": {Cores: 80}}, SmallestTask: map[string]storage.Resources{"red": {Cores: 2}}}}}
 	s.plan(input, true, now)
 	if next, _ := n.lowerShares(s, s.shares, now); next["red"].Cores != 40 {
-		t.Fatalf("keeps %v before it is stalled", next["red"])
+		t.Fatalf("share is %v before it is stalled", next["red"])
 	}
 	later := now.Add(2 * input.heartbeatInterval)
 	s.plan(input, true, later)
 	if next, lowered := n.lowerShares(s, s.shares, later); !lowered || next["red"].Cores != 0 {
-		t.Errorf("keeps %v", next["red"])
+		t.Errorf("share is %v, lowered %v", next["red"], lowered)
 	}
 	if shares := n.divideQuota("red"); shares[1].Cores != 80 {
-		t.Errorf("%v: the other can use all", shares)
+		t.Errorf("shares %v, want all for the shard with machines", shares)
 	}
 }
 
-// What a status says of its shards' machines that can't be true, or that this controller
-// does not know, is left out; the rest counts.
+// Values in a status that are impossible, or that name something unknown to this controller,
+// are ignored; the rest is used.
 func TestInvalidStatusValuesAreLeftOut(t *testing.T) {
 	w := newWorld(1, nil)
 	n := New(w.settings, w.settings.Defaults(), nil, nil, nil, nil)
@@ -114,10 +112,10 @@
 		t.Errorf("kept %v and %v", kept.Room, kept.Startable)
 	}
 	if len(amounts) != 2 {
-		t.Error("the sender's own status was changed")
+		t.Error("the sender's status was modified")
 	}
 	if logged := len(n.loggedStatusErrors); logged != 3 {
-		t.Errorf("%d errors, one for each name and reason would be 3: %v", logged, n.loggedStatusErrors)
+		t.Errorf("%d errors logged, want 3, one for each name and reason: %v", logged, n.loggedStatusErrors)
 	}
 	for _, cores := range []float64{-1, math.NaN(), 15, math.Inf(1)} {
 		err := error(n.checkStartable("n1", 1, "red", storage.Resources{Cores: cores}))
@@ -127,7 +125,8 @@
 	}
 }
 
-// Why a job waits is noted when it changes.
+// The reason why a job waits is updated by each plan; the waiting time starts with the
+// first unplaced task.
 func TestWaitReason(t *testing.T) {
 	now := time.Now()
 	s, input := stalledShard(now)
@@ -139,7 +138,7 @@
 		s.shares["red"] = storage.Resources{Cores: c.share}
 		s.plan(input, true, now)
 		if j.waitReason != c.reason || !j.unplacedSince.Equal(now) {
-			t.Errorf("share %g: %q since %v", c.share, j.waitReason, j.unplacedSince)
+			t.Errorf("share %g: reason %q since %v, want %q", c.share, j.waitReason, j.unplacedSince, c.reason)
 		}
 	}
 }
--- a/internal/coordination/wait_reason.go
+++ b/internal/coordination/wait_reason.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// waitReason says why tasks of a job that could start are without a machine.
+// waitReason is the reason why tasks of a startable job are not placed.
 type waitReason string
 
 const (
@@ -14,9 +14,8 @@
 	waitsForMachine waitReason = "machine" // no machine of the shard has room
 )
 
-// recordWaitReason notes since when tasks of a job have been without a machine, and
-// why, as a plan has left it. A change of the reason is logged: what an operator
-// needs to know of a job that waits.
+// recordWaitReason records since when and why a job has unplaced tasks after a plan. A change
+// of the reason is logged, so that operators can see why a job waits.
 func (s *shard) recordWaitReason(j *job, shareUsedUp bool, now time.Time) {
 	reason := waitsForMachine
 	switch {
