--- a/internal/coordination/drain.go
+++ b/internal/coordination/drain.go
@@ -41,8 +41,8 @@
 	if spec.CheckpointIntervalSeconds <= 0 {
 		return false
 	}
-	save := time.Duration((spec.CheckpointSeconds + 1) * float64(time.Second))
-	return a.machine.reclaimAt.Sub(p.now) < save+p.input.heartbeatInterval*3/2
+	checkpointTime := time.Duration((spec.CheckpointSeconds + 1) * float64(time.Second))
+	return a.machine.reclaimAt.Sub(p.now) < checkpointTime+p.input.heartbeatInterval*3/2
 }
 
 // consolidate drains the most expensive machine whose tasks can all save a
--- a/internal/coordination/migration_to_room.go
+++ b/internal/coordination/migration_to_room.go
@@ -59,21 +59,21 @@
 		return nil, 0
 	}
 	s.migrationCheckedAt = now
-	room := n.findMigrationTargets(s, now)
-	n.updateDrainingJobs(s, room, now)
-	if len(room.shards) == 0 {
+	targets := n.findMigrationTargets(s, now)
+	n.updateDrainingJobs(s, targets, now)
+	if len(targets.shards) == 0 {
 		return nil, 0
 	}
 	for _, j := range s.jobs {
 		if j.isDraining() && n.canMigrate(s, j, now) {
-			if target, reason := room.selectTarget(j); reason == noStayReason {
+			if target, reason := targets.selectTarget(j); reason == noStayReason {
 				return j, target
 			}
 		}
 	}
 	for _, j := range s.queue {
 		if j.hasWaitedFor(n.heartbeatIntervals(migrationWaitHeartbeats), now) && n.canMigrate(s, j, now) {
-			if target, reason := room.selectTarget(j); reason == noStayReason {
+			if target, reason := targets.selectTarget(j); reason == noStayReason {
 				return j, target
 			}
 		}
@@ -84,10 +84,10 @@
 // findMigrationTargets returns the spare capacity of the shards other than the given
 // one whose status is recent and whose holders are not overloaded.
 func (n *Node) findMigrationTargets(s *shard, now time.Time) *migrationTargets {
-	room := &migrationTargets{node: n, source: s, usage: n.teamUsage()}
-	add := func(index int, rooms []spareCapacity) {
-		if index != s.index && len(rooms) > 0 && !n.isHolderOverloaded(index) {
-			room.shards = append(room.shards, shardSpareCapacity{index, rooms})
+	targets := &migrationTargets{node: n, source: s, usage: n.teamUsage()}
+	add := func(index int, machines []spareCapacity) {
+		if index != s.index && len(machines) > 0 && !n.isHolderOverloaded(index) {
+			targets.shards = append(targets.shards, shardSpareCapacity{index, machines})
 		}
 	}
 	for i := range n.operator.Shards {
@@ -98,7 +98,7 @@
 	for status := range n.recentRemoteShards(now) {
 		add(status.Index, status.Room)
 	}
-	return room
+	return targets
 }
 
 // heartbeatIntervals returns the duration of a number of the workers' heartbeat
@@ -115,17 +115,17 @@
 
 // updateDrainingJobs starts to drain jobs that should migrate to another shard's
 // spare capacity, and cancels draining that no longer has a reason.
-func (n *Node) updateDrainingJobs(s *shard, room *migrationTargets, now time.Time) {
-	patience, maxHold := n.heartbeatIntervals(drainWaitHeartbeats), n.heartbeatIntervals(maxDrainHeartbeats)
+func (n *Node) updateDrainingJobs(s *shard, targets *migrationTargets, now time.Time) {
+	minWait, maxDrainTime := n.heartbeatIntervals(drainWaitHeartbeats), n.heartbeatIntervals(maxDrainHeartbeats)
 	for _, j := range s.jobs {
-		if !j.isDraining() && !j.canStartDraining(patience, maxHold, now) {
+		if !j.isDraining() && !j.canStartDraining(minWait, maxDrainTime, now) {
 			continue
 		}
-		target, reason := room.selectTarget(j)
+		targetShard, reason := targets.selectTarget(j)
 		switch {
 		case !j.isDraining() && reason == noStayReason:
-			j.leavingUntil = now.Add(maxHold)
-			slog.Info("job leaving for room in another shard", "job", j.id, "from_shard", s.index, "to_shard", target, "running", len(j.attempts))
+			j.leavingUntil = now.Add(maxDrainTime)
+			slog.Info("job leaving for room in another shard", "job", j.id, "from_shard", s.index, "to_shard", targetShard, "running", len(j.attempts))
 		case j.isDraining() && reason != noStayReason:
 			j.cancelDraining(reason, now)
 		case j.isDraining() && now.After(j.leavingUntil):
@@ -159,16 +159,16 @@
 // canStartDraining reports whether a job with running tasks has waited for long
 // enough to be drained, and its attempts are expected to end within the draining
 // time.
-func (j *job) canStartDraining(patience, maxHold time.Duration, now time.Time) bool {
+func (j *job) canStartDraining(minWait, maxDrainTime time.Duration, now time.Time) bool {
 	if len(j.attempts) == 0 || j.pendingTasks() == 0 || !j.isStartable() || j.spec.IsGang() || j.spec.IsService() {
 		return false
 	}
-	if !j.hasWaitedFor(patience, now) {
+	if !j.hasWaitedFor(minWait, now) {
 		return false
 	}
 	for _, attempt := range j.attempts {
-		left := j.spec.EstimatedSeconds - attempt.secondsRunning(now)
-		if config.Seconds(left) > maxHold {
+		remaining := j.spec.EstimatedSeconds - attempt.secondsRunning(now)
+		if config.Seconds(remaining) > maxDrainTime {
 			return false
 		}
 	}
@@ -184,8 +184,8 @@
 	var selected shardSpareCapacity
 	most := 0.0
 	for _, other := range r.shards {
-		if room, fits := j.mostFreeCores(other.machines); fits && room > most {
-			selected, most = other, room
+		if cores, fits := j.mostFreeCores(other.machines); fits && cores > most {
+			selected, most = other, cores
 		}
 	}
 	switch {
@@ -234,11 +234,11 @@
 }
 
 // countFittingTasks counts the tasks of the job that fit on the given machines.
-func (j *job) countFittingTasks(rooms []spareCapacity) int {
+func (j *job) countFittingTasks(machines []spareCapacity) int {
 	count := 0
-	for _, room := range rooms {
-		if room.Free.Fits(j.need) && j.allows(room.Kind.MachineType, room.Kind.Zone, room.Kind.Spot) {
-			count += room.Free.CountFitting(j.need)
+	for _, m := range machines {
+		if m.Free.Fits(j.need) && j.allows(m.Kind.MachineType, m.Kind.Zone, m.Kind.Spot) {
+			count += m.Free.CountFitting(j.need)
 		}
 	}
 	return count
@@ -254,10 +254,10 @@
 
 // mostFreeCores returns the most free cores of any of the given machines that has
 // capacity for a task of the job; false if none has.
-func (j *job) mostFreeCores(rooms []spareCapacity) (most float64, ok bool) {
-	for _, room := range rooms {
-		if room.Free.Fits(j.need) && j.allows(room.Kind.MachineType, room.Kind.Zone, room.Kind.Spot) {
-			most, ok = max(most, room.Free[placement.Cores]), true
+func (j *job) mostFreeCores(machines []spareCapacity) (most float64, ok bool) {
+	for _, m := range machines {
+		if m.Free.Fits(j.need) && j.allows(m.Kind.MachineType, m.Kind.Zone, m.Kind.Spot) {
+			most, ok = max(most, m.Free[placement.Cores]), true
 		}
 	}
 	return most, ok
--- a/internal/coordination/migration_to_room_test.go
+++ b/internal/coordination/migration_to_room_test.go
@@ -23,7 +23,7 @@
 
 // newWaitingNode returns a waitingNode whose other shard has spare capacity on one
 // machine.
-func newWaitingNode(room spareCapacity) *waitingNode {
+func newWaitingNode(spare spareCapacity) *waitingNode {
 	w := newWorld(1, nil)
 	n := New(w.settings, w.settings.Defaults(), nil, nil, nil, nil)
 	n.records.SetMachineTypes(simMachineTypes)
@@ -40,7 +40,7 @@
 	j.spec = protocol.Job{ID: j.id, Team: "red", Type: "array", Tasks: 2, Cores: 3, MemoryGB: 2, EstimatedSeconds: 9, Spot: true}
 	s.jobs, s.queue = map[string]*job{}, []*job{j}
 	s.addJob(j)
-	status := &Status{From: "n1", receivedAt: now, Shards: []ShardStatus{{Index: 1, FencingToken: n.records.Shards[1].Value.FencingToken, Room: []spareCapacity{room}}}}
+	status := &Status{From: "n1", receivedAt: now, Shards: []ShardStatus{{Index: 1, FencingToken: n.records.Shards[1].Value.FencingToken, Room: []spareCapacity{spare}}}}
 	n.peerStatus["n1"] = status
 	return &waitingNode{n, s, j, status, now}
 }
--- a/internal/coordination/placement.go
+++ b/internal/coordination/placement.go
@@ -56,25 +56,25 @@
 	if m.exchange.CountUnanswered() == 0 {
 		return true
 	}
-	kept := 0
+	blocked := 0
 	for key := range m.exchange.UnansweredTasks() {
 		if key.job == j.id && j.isTaskPending(key.task) {
-			kept++
+			blocked++
 		}
 	}
-	return kept == 0 || kept < j.pendingTasks()
+	return blocked == 0 || blocked < j.pendingTasks()
 }
 
 // takeTaskFor takes a pending task that may be started on a machine, and returns -1
 // if there is none.
 func (j *job) takeTaskFor(m *machine) int {
-	var kept []int
+	var blocked []int
 	task := j.takePendingTask()
 	for task >= 0 && m.exchange.StartMayArrive(taskKey{j.id, task}) {
-		kept = append(kept, task)
+		blocked = append(blocked, task)
 		task = j.takePendingTask()
 	}
-	j.retry = append(j.retry, kept...)
+	j.retry = append(j.retry, blocked...)
 	return task
 }
 
@@ -133,8 +133,8 @@
 // team's quota allows, of which unplaced tasks of earlier jobs have claimed a part.
 func (p *planner) appendUnplaced(unplaced []unplacedTasks, j *job, count int) []unplacedTasks {
 	claim := p.claimed[j.spec.Team]
-	spoken := storage.Resources{Cores: p.unreported.Cores + claim.Cores, GPUs: p.unreported.GPUs + claim.GPUs}
-	count = min(count, p.shard.remainingQuota(j, p.input.teams, spoken))
+	reserved := storage.Resources{Cores: p.unreported.Cores + claim.Cores, GPUs: p.unreported.GPUs + claim.GPUs}
+	count = min(count, p.shard.remainingQuota(j, p.input.teams, reserved))
 	if count <= 0 {
 		return unplaced
 	}
@@ -147,14 +147,14 @@
 // but still counted in the scale-out: a machine that was requested for them may arrive, and
 // run them, long before the last attempt of their job has ended.
 func (p *planner) collectDrainingTasks() []unplacedTasks {
-	var leaving []unplacedTasks
-	isLeaving := func(j *job) bool { return j.isDraining() && !j.migrating && !j.ended }
-	for _, j := range sortedBySubmission(p.shard.jobs, isLeaving) {
+	var draining []unplacedTasks
+	isDraining := func(j *job) bool { return j.isDraining() && !j.migrating && !j.ended }
+	for _, j := range sortedBySubmission(p.shard.jobs, isDraining) {
 		pending := j.pendingTasks()
 		j.addNeed(p.shard.desired, pending)
-		leaving = p.appendUnplaced(leaving, j, pending)
+		draining = p.appendUnplaced(draining, j, pending)
 	}
-	return leaving
+	return draining
 }
 
 // resetDesired resets each team's desired amount to its current usage.
@@ -180,7 +180,7 @@
 
 // updateSmallestTasks records, for each team, the minimum of each resource that one of
 // its pending tasks needs, including tasks of draining jobs.
-func (s *shard) updateSmallestTasks(leaving []unplacedTasks) {
+func (s *shard) updateSmallestTasks(draining []unplacedTasks) {
 	clear(s.smallestTask)
 	smaller := func(a, b float64) float64 { // 0: none yet
 		if a == 0 || b > 0 && b < a {
@@ -200,7 +200,7 @@
 			add(j)
 		}
 	}
-	for _, tasks := range leaving {
+	for _, tasks := range draining {
 		add(tasks.job)
 	}
 }
--- a/internal/coordination/wait_reason.go
+++ b/internal/coordination/wait_reason.go
@@ -11,7 +11,7 @@
 const (
 	waitsForNothing waitReason = ""        // all its tasks are placed
 	waitsForShare   waitReason = "share"   // the shard's share of the team's quota is used up
-	waitsForMachine waitReason = "machine" // no machine of the shard has room
+	waitsForMachine waitReason = "machine" // no machine of the shard has capacity
 )
 
 // recordWaitReason records since when and why a job has unplaced tasks after a plan. A change
