--- a/internal/coordination/job_migration.go
+++ b/internal/coordination/job_migration.go
@@ -45,8 +45,7 @@
 }
 
 // buildMigrations returns the migrations to write now: all whose outcome is
-// unknown, to be retried, and new ones, at most one per shard. It marks their jobs
-// as migrating.
+// unknown, to be retried, and at most one new one. It marks their jobs as migrating.
 func (n *Node) buildMigrations() []migration {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/coordination/migration_to_room_test.go
+++ b/internal/coordination/migration_to_room_test.go
@@ -134,7 +134,7 @@
 
 // A job is drained only while there is a reason, and for at most maxDrainHeartbeats.
 func TestDrainingIsBounded(t *testing.T) {
-	hold := 18 * 3 * time.Second // maxLeavingHeartbeats heartbeats of the simulated workers
+	hold := 18 * 3 * time.Second // maxDrainHeartbeats heartbeat intervals of the simulated workers
 	cases := []struct {
 		name   string
 		adjust func(w *waitingNode)
