--- a/cmd/reedtrack/daemon.go
+++ b/cmd/reedtrack/daemon.go
@@ -110,17 +110,17 @@
 
 // sendDirect returns the function that sends direct commands to workers. Only an
 // answer that can be read tells whether they were carried out.
-func sendDirect(workers *transport.WorkerClient) coordination.Direct {
+func sendDirect(workers *transport.WorkerClient) coordination.DirectSender {
 	return func(ctx context.Context, address string, command protocol.DirectCommands) coordination.DirectAnswer {
 		result := workers.Do(ctx, address, command)
 		answer := coordination.DirectAnswer{Report: result.Heartbeat}
 		switch {
 		case !result.Sent:
-			answer.Outcome = coordination.Unsent
+			answer.Outcome = coordination.DirectUnsent
 		case result.StatusCode == http.StatusOK && result.Heartbeat != nil:
-			answer.Outcome = coordination.Done
+			answer.Outcome = coordination.DirectDone
 		case result.StatusCode == http.StatusConflict || result.StatusCode == http.StatusBadRequest:
-			answer.Outcome = coordination.Denied
+			answer.Outcome = coordination.DirectRejected
 		}
 		return answer
 	}
--- a/internal/coordination/boot_queue.go
+++ b/internal/coordination/boot_queue.go
@@ -98,7 +98,7 @@
 }
 
 // removeGranted removes machines that are granted: they have booted.
-func (l *leadership) removeGranted(machines []machineGranted) {
+func (l *leadership) removeGranted(machines []grantedMachine) {
 	granted := map[string]bool{}
 	for _, machine := range machines {
 		granted[machine.id] = true
--- a/internal/coordination/cancellation.go
+++ b/internal/coordination/cancellation.go
@@ -25,13 +25,13 @@
 		case err != nil:
 			return protocol.JobStatus{}, ErrUnavailable
 		case stored.end != nil:
-			return endStatus(id, *stored.end), nil
+			return endedJobStatus(id, *stored.end), nil
 		case stored.live == nil:
 			return protocol.JobStatus{}, ErrJobNotFound
 		}
 		end, err := n.writeCancellation(ctx, stored.live)
 		if err == nil {
-			return endStatus(id, end), nil
+			return endedJobStatus(id, end), nil
 		}
 		if !errors.Is(err, storage.ErrConflict) {
 			return protocol.JobStatus{}, ErrUnavailable
@@ -46,7 +46,7 @@
 	spec := &live.Record.Spec
 	n.mu.Lock()
 	done, _ := n.records.DoneTasks(live)
-	end := *n.newEnd(protocol.Cancelled, done.Len(), spec)
+	end := *n.newEndedJob(protocol.Cancelled, done.Len(), spec)
 	n.mu.Unlock()
 	_, err := n.store.TxnByDeadline(ctx, protocol.Txn{
 		Preconditions: []protocol.Precondition{{Key: storage.JobKey(spec.ID), Revision: live.Revision}},
--- a/internal/coordination/cloud.go
+++ b/internal/coordination/cloud.go
@@ -13,11 +13,11 @@
 )
 
 const (
-	// cloudCallShare is the part of the cloud's rate limit that is used: the
+	// cloudRateFraction is the part of the cloud's rate limit that is used: the
 	// rest is a margin, so that no call is refused.
-	cloudCallShare = 0.9
-	// cloudIdleDelay is how often it is checked whether a call is due.
-	cloudIdleDelay = 100 * time.Millisecond
+	cloudRateFraction = 0.9
+	// cloudPollInterval is how often it is checked whether a call is due.
+	cloudPollInterval = 100 * time.Millisecond
 	// minListInterval is the least time between two requests of the list.
 	minListInterval = time.Second
 	// listRetryDelay and releaseRetryDelay are how long failed calls wait
@@ -27,9 +27,9 @@
 	// returnedMaxIdle is how long a machine that a holder returned is kept for
 	// another shard: the holder has waited already.
 	returnedMaxIdle = 4 * statusInterval
-	// maxSilentBootTimes is after how many times its type's boot time a machine
+	// bootTimeoutFactor is after how many times its type's boot time a machine
 	// that has never sent a heartbeat is released.
-	maxSilentBootTimes = 4
+	bootTimeoutFactor = 4
 )
 
 // cloudErrorLog bounds the log during an outage of the cloud.
@@ -40,11 +40,11 @@
 
 // cloudLoop makes the leader's calls to the cloud, one after the other.
 func (n *Node) cloudLoop(ctx context.Context) {
-	budget := rate.NewLimiter(rate.Limit(n.settings.Deployment.Cloud.RPS*cloudCallShare), 1)
+	budget := rate.NewLimiter(rate.Limit(n.settings.Deployment.Cloud.RPS*cloudRateFraction), 1)
 	for ctx.Err() == nil {
 		call := n.readyCloudCall()
 		if call == nil {
-			sleep(ctx, cloudIdleDelay)
+			sleep(ctx, cloudPollInterval)
 			continue
 		}
 		if budget.Wait(ctx) == nil {
@@ -96,7 +96,7 @@
 		if _, granted := n.records.ShardOfMachine[id]; granted {
 			continue
 		}
-		if leadership.cordoned[id] || n.isUseless(machine, now) {
+		if leadership.cordoned[id] || n.shouldRelease(machine, now) {
 			names = append(names, id)
 		}
 	}
@@ -104,14 +104,14 @@
 	return names[:min(len(names), protocol.MaxMachinesPerRelease)]
 }
 
-// isUseless reports whether a machine that no shard has is of no use: it failed,
+// shouldRelease reports whether a machine that no shard has is of no use: it failed,
 // doesn't report, runs tasks of nobody, or nobody has wanted it for too long.
-func (n *Node) isUseless(machine *cloudMachine, now time.Time) bool {
+func (n *Node) shouldRelease(machine *cloudMachine, now time.Time) bool {
 	if machine.status == machineFailed || machine.hasTasks {
 		return true
 	}
 	if machine.lastHeartbeat.IsZero() {
-		if now.Sub(machine.requestedAt) > maxSilentBootTimes*n.bootTime(machine.kind.MachineType) {
+		if now.Sub(machine.requestedAt) > bootTimeoutFactor*n.bootTime(machine.kind.MachineType) {
 			return true
 		}
 	} else if now.Sub(machine.lastHeartbeat) > n.timing.WorkerTimeout {
--- a/internal/coordination/delegation_fences_test.go
+++ b/internal/coordination/delegation_fences_test.go
@@ -44,7 +44,7 @@
 		t.Fatal(err)
 	}
 	for _, change := range n.records.Apply([]protocol.Change{{Put: key, Value: raw, Revision: revision}}) {
-		n.reactTo(change)
+		n.handleChange(change)
 	}
 }
 
@@ -88,7 +88,7 @@
 		t.Error("the attempt is dropped though its start may still arrive")
 	}
 	s.receiveHeartbeat(m, &protocol.Heartbeat{Machine: "a", Session: 1, Sequence: 3, FencingToken: 7}, now)
-	if len(m.attempts) != 0 || len(s.buildOrders(m, now)) != 0 {
+	if len(m.attempts) != 0 || len(s.buildCommands(m, now)) != 0 {
 		t.Error("the attempt is not dropped though the worker refuses its start")
 	}
 }
@@ -182,7 +182,7 @@
 	for i := range unanswered {
 		m := s.machines[names[i*machines/unanswered]]
 		s.receiveHeartbeat(m, &protocol.Heartbeat{Machine: m.lease.Machine, Address: "x:1", Session: 1, Sequence: 1, FencingToken: 2}, now)
-		j := &job{id: fmt.Sprintf("wk-%06d", i), spec: protocol.Job{Team: "red", Type: "array", Tasks: 1}, revision: 9, need: placement.Resources{1, 0, 1}}
+		j := &job{id: fmt.Sprintf("wk-%06d", i), spec: protocol.Job{Team: "red", Type: "array", Tasks: 1}, revision: 9, taskResources: placement.Resources{1, 0, 1}}
 		s.addJob(j)
 		s.place(j, j.takePendingTask(), m)
 		message := directTarget{s, m}.buildMessage(now)
--- a/internal/coordination/dependencies.go
+++ b/internal/coordination/dependencies.go
@@ -36,7 +36,7 @@
 	now := n.now()
 	blockedCount := n.updateShardJobs(now)
 	transport.BlockedJobs.Set(float64(blockedCount))
-	foundCancelled := n.noteCancelled(now)
+	foundCancelled := n.recordCancelledSince(now)
 	if foundCancelled || len(n.ends.unknown) > 0 {
 		signal(n.wake.dependencies)
 	}
@@ -170,9 +170,9 @@
 	slog.Debug("job unblocked", "job", j.id)
 }
 
-// noteCancelled notes since when jobs have a cancelled dependency, and reports
+// recordCancelledSince notes since when jobs have a cancelled dependency, and reports
 // whether there are any.
-func (n *Node) noteCancelled(now time.Time) bool {
+func (n *Node) recordCancelledSince(now time.Time) bool {
 	found := false
 	for _, jr := range n.records.Jobs {
 		if !jr.Dependencies.Cancelled {
@@ -190,10 +190,10 @@
 // cancels jobs with a cancelled dependency. Both follow from the store, so a
 // successor continues where this controller stops.
 func (n *Node) dependencyTick(ctx context.Context) time.Duration {
-	unknownEnds, cancelled := n.dependencyWork()
+	unknownEnds, cancelled := n.pendingDependencyWork()
 	var wg sync.WaitGroup
 	for _, id := range unknownEnds[:min(len(unknownEnds), maxDependencyRequests)] {
-		wg.Go(func() { n.loadEnd(ctx, id) })
+		wg.Go(func() { n.loadEndedJob(ctx, id) })
 	}
 	for _, jr := range cancelled[:min(len(cancelled), maxDependencyRequests)] {
 		wg.Go(func() { n.writeCancellation(ctx, jr) })
@@ -208,9 +208,9 @@
 	return 0
 }
 
-// dependencyWork lists the dependencies whose ends this controller has to read,
+// pendingDependencyWork lists the dependencies whose ends this controller has to read,
 // and the jobs that it has to cancel.
-func (n *Node) dependencyWork() (unknownEnds []string, cancelled []*clusterstate.JobRecord) {
+func (n *Node) pendingDependencyWork() (unknownEnds []string, cancelled []*clusterstate.JobRecord) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	now := n.now()
@@ -233,9 +233,9 @@
 	return unknownEnds, cancelled
 }
 
-// loadEnd makes the end of a job that is no longer live known. A job that has
+// loadEndedJob makes the end of a job that is no longer live known. A job that has
 // none yet is reported as ErrUnavailable.
-func (n *Node) loadEnd(ctx context.Context, id string) error {
+func (n *Node) loadEndedJob(ctx context.Context, id string) error {
 	stored, err := n.lookupJob(ctx, id)
 	if err == nil && stored.end == nil {
 		err = fmt.Errorf("%w: %s has no end yet", ErrUnavailable, id)
--- a/internal/coordination/dependency_requests.go
+++ b/internal/coordination/dependency_requests.go
@@ -9,23 +9,23 @@
 	"reedtrack/internal/protocol"
 )
 
-// maxReadRounds is how often the dependencies of one job are evaluated for an
+// maxEvaluationRounds is how often the dependencies of one job are evaluated for an
 // answer, with reads of unknown ends in between: an end that was read may have
 // been dropped from the cache, and dependencies go on changing meanwhile.
-const maxReadRounds = 3
+const maxEvaluationRounds = 3
 
 // hasCancelledDependency reports, for an answer, whether a dependency of a live
 // job, direct or not, was cancelled. What the copy of the records does not tell
 // is read from the store.
 func (n *Node) hasCancelledDependency(ctx context.Context, live *clusterstate.JobRecord) (bool, error) {
-	for range maxReadRounds {
+	for range maxEvaluationRounds {
 		cancelled, unknown, err := n.evaluateCancellation(live)
 		if err != nil || cancelled || len(unknown) == 0 {
 			return cancelled, err
 		}
 		for id := range unknown {
 			// ErrUnavailable says that there is no end yet: look again.
-			if err := n.loadEnd(ctx, id); err != nil && !errors.Is(err, ErrUnavailable) {
+			if err := n.loadEndedJob(ctx, id); err != nil && !errors.Is(err, ErrUnavailable) {
 				return false, ErrUnavailable
 			}
 		}
--- a/internal/coordination/direct_dispatch.go
+++ b/internal/coordination/direct_dispatch.go
@@ -12,31 +12,31 @@
 	"reedtrack/internal/protocol"
 )
 
-// Direct sends commands directly to a worker, without waiting for its next
+// DirectSender sends commands directly to a worker, without waiting for its next
 // heartbeat.
-type Direct func(ctx context.Context, address string, d protocol.DirectCommands) DirectAnswer
+type DirectSender func(ctx context.Context, address string, d protocol.DirectCommands) DirectAnswer
 
 // DirectAnswer is the outcome of a direct message.
 type DirectAnswer struct {
-	Outcome Outcome
+	Outcome DirectOutcome
 	Report  *protocol.Heartbeat // the worker's state after the commands, if it answered
 }
 
-// Outcome is what is known of a direct message.
-type Outcome uint8
+// DirectOutcome is what is known of a direct message.
+type DirectOutcome uint8
 
 const (
-	// Unanswered says nothing: the message may have been carried out, or may
+	// DirectUnanswered says nothing: the message may have been carried out, or may
 	// still be. It is the zero value, so an outcome that nobody set claims
 	// nothing.
-	Unanswered Outcome = iota
-	Unsent             // it never left: no connection was made
-	Done               // carried out
-	Denied             // not carried out: token or session did not match
+	DirectUnanswered DirectOutcome = iota
+	DirectUnsent                   // it never left: no connection was made
+	DirectDone                     // carried out
+	DirectRejected                 // not carried out: token or session did not match
 )
 
 // isAnswer reports whether the worker answered the message.
-func (o Outcome) isAnswer() bool { return o == Done || o == Denied }
+func (o DirectOutcome) isAnswer() bool { return o == DirectDone || o == DirectRejected }
 
 // directState is what is known of direct messages to a machine.
 type directState struct {
@@ -178,7 +178,7 @@
 	message.payload = protocol.DirectCommands{
 		FencingToken: s.machineToken(m),
 		Session:      message.tracker.Session,
-		Commands:     s.stopOrders(m, now),
+		Commands:     s.stopCommands(m, now),
 	}
 	for key, run := range m.attempts {
 		if !m.needsStart(run) {
@@ -236,23 +236,23 @@
 func (s *shard) finishDirect(message *directMessage, answer DirectAnswer, now time.Time) {
 	m := message.machine
 	listed := map[taskKey]uint64{}
-	if answer.Outcome == Done {
+	if answer.Outcome == DirectDone {
 		for _, t := range answer.Report.Tasks {
 			listed[parseTaskKey(t.Task)] = t.Attempt
 		}
 	}
-	settled := answer.Outcome != Unanswered
+	settled := answer.Outcome != DirectUnanswered
 	for _, run := range message.starts {
 		switch {
-		case answer.Outcome == Unanswered:
-		case answer.Outcome == Done && listed[run.key] != run.number:
+		case answer.Outcome == DirectUnanswered:
+		case answer.Outcome == DirectDone && listed[run.key] != run.number:
 			settled = false // answered without listing the attempt
 		default:
 			message.tracker.SettleStart(&run.start)
 		}
 	}
 	m.exchange.EndMessage(message.tracker, settled)
-	if answer.Outcome == Done {
+	if answer.Outcome == DirectDone {
 		s.receiveDirectReport(m, answer.Report, now)
 	}
 }
@@ -265,7 +265,7 @@
 		return
 	}
 	m.lastHeartbeat, m.health = now, failuredetector.Healthy
-	m.noteReclaimNotice(report.InterruptionSeconds, now)
+	m.recordReclaimNotice(report.InterruptionSeconds, now)
 	listed := s.reconcileTasks(m, report, now, func(taskKey, protocol.TaskStatus) bool { return false })
 	if s.guards&dispatch.WithoutResponseOrder != 0 {
 		for key, run := range m.attempts {
--- a/internal/coordination/drain.go
+++ b/internal/coordination/drain.go
@@ -108,7 +108,7 @@
 		if other == nil {
 			return false
 		}
-		reserved[other] = reserved[other].Add(attempt.job.need)
+		reserved[other] = reserved[other].Add(attempt.job.taskResources)
 	}
 	return true
 }
@@ -136,8 +136,8 @@
 		other := machines[i]
 		free := other.freeCapacity().Sub(reserved[other])
 		ok := other != m && !other.draining && p.input.price(other.kind()) <= p.input.price(m.kind()) &&
-			free.Fits(j.need) && j.allowsMachine(other) && j.zoneAllows(other.lease.Zone)
-		return free.Sub(j.need), other.size, ok
+			free.Fits(j.taskResources) && j.allowsMachine(other) && j.zoneAllows(other.lease.Zone)
+		return free.Sub(j.taskResources), other.capacity, ok
 	})
 	if i < 0 {
 		return nil
--- a/internal/coordination/end_cache.go
+++ b/internal/coordination/end_cache.go
@@ -6,26 +6,26 @@
 // is read again when somebody asks for it.
 const maxCachedEnds = 20000
 
-// endCache holds how jobs ended, as far as the store has confirmed it to this
+// endedJobCache holds how jobs ended, as far as the store has confirmed it to this
 // controller. Ends are final, so an entry never changes.
-type endCache struct {
+type endedJobCache struct {
 	known   map[string]storage.EndedJob
 	order   []string        // the keys of known, oldest first
 	unknown map[string]bool // dependencies that are no longer live and whose ends have to be read
 }
 
-func newEndCache() endCache {
-	return endCache{known: map[string]storage.EndedJob{}, unknown: map[string]bool{}}
+func newEndedJobCache() endedJobCache {
+	return endedJobCache{known: map[string]storage.EndedJob{}, unknown: map[string]bool{}}
 }
 
-func (c *endCache) get(id string) (storage.EndedJob, bool) {
+func (c *endedJobCache) get(id string) (storage.EndedJob, bool) {
 	end, ok := c.known[id]
 	return end, ok
 }
 
 // add caches an end that the store has confirmed, and drops the oldest one if there
 // are too many.
-func (c *endCache) add(id string, end storage.EndedJob) {
+func (c *endedJobCache) add(id string, end storage.EndedJob) {
 	if _, ok := c.known[id]; !ok {
 		c.order = append(c.order, id)
 	}
--- a/internal/coordination/failure_detection_test.go
+++ b/internal/coordination/failure_detection_test.go
@@ -156,7 +156,7 @@
 				}
 			}
 			s.receiveHeartbeat(m, heartbeat, now)
-			s.buildOrders(m, now)
+			s.buildCommands(m, now)
 		}
 	}
 	return node, s, input, report
@@ -165,7 +165,7 @@
 // addPendingJob adds a job none of whose tasks is placed to a shard.
 func addPendingJob(s *shard, id string, tasks int) *job {
 	spec := protocol.Job{ID: id, Team: "red", Type: "array", Tasks: tasks, Cores: 4, MemoryGB: 2, EstimatedSeconds: 30, Spot: true}
-	j := &job{id: id, need: placement.Resources{4, 0, 2}, spec: spec}
+	j := &job{id: id, taskResources: placement.Resources{4, 0, 2}, spec: spec}
 	s.addJob(j)
 	j.unconfirmed = false
 	return j
@@ -315,7 +315,7 @@
 	for _, m := range s.sortedMachines() {
 		if len(m.attempts) > 0 && reclaimed < 2 {
 			noticeSeconds := 10.0
-			m.noteReclaimNotice(&noticeSeconds, now)
+			m.recordReclaimNotice(&noticeSeconds, now)
 			reclaimed++
 		}
 	}
--- a/internal/coordination/grant_builder.go
+++ b/internal/coordination/grant_builder.go
@@ -195,9 +195,9 @@
 	return !n.records.SplitGrantsEnabled() || n.records.Grants[shard].Value.Generation != 0
 }
 
-// recordWithRoom returns a record of the shard that has room for one more
+// recordWithSpace returns a record of the shard that has room for one more
 // machine; false if there is none.
-func (b *grantBuilder) recordWithRoom(shard, more int) (grantRecordID, bool) {
+func (b *grantBuilder) recordWithSpace(shard, more int) (grantRecordID, bool) {
 	if !b.node.canChangeGrant(shard) {
 		return grantRecordID{}, false
 	}
@@ -223,14 +223,14 @@
 // acceptsMachine reports whether a shard can be granted one more machine.
 func (b *grantBuilder) acceptsMachine(shard int, machine *cloudMachine) bool {
 	lease := storage.MachineLease{Machine: machine.id, MachineType: machine.kind.MachineType, Zone: machine.kind.Zone}
-	_, ok := b.recordWithRoom(shard, leaseBytes(lease))
+	_, ok := b.recordWithSpace(shard, leaseBytes(lease))
 	return ok
 }
 
 // addMachine grants a machine to a shard that accepts it.
 func (b *grantBuilder) addMachine(shard int, lease storage.MachineLease) {
 	more := leaseBytes(lease)
-	record, ok := b.recordWithRoom(shard, more)
+	record, ok := b.recordWithSpace(shard, more)
 	if !ok {
 		return
 	}
--- a/internal/coordination/grant_changes.go
+++ b/internal/coordination/grant_changes.go
@@ -8,28 +8,28 @@
 // grantChanges lists what a grant changes: a shard's holder, a step of splitting
 // a grant into chunks, or machines and quota.
 type grantChanges struct {
-	shard     *shardGranted
+	shard     *grantedShard
 	splitStep string
-	machines  []machineGranted
-	quota     []quotaGranted
+	machines  []grantedMachine
+	quota     []grantedQuota
 }
 
-// shardGranted is a shard that is leased to a holder.
-type shardGranted struct {
+// grantedShard is a shard that is leased to a holder.
+type grantedShard struct {
 	shard        int
 	holder       string
 	fencingToken uint64
 }
 
-// machineGranted is a machine that is leased to a shard.
-type machineGranted struct {
+// grantedMachine is a machine that is leased to a shard.
+type grantedMachine struct {
 	id    string
 	shard int
 }
 
-// quotaGranted is an amount by which a shard's share of a team's quota is
+// grantedQuota is an amount by which a shard's share of a team's quota is
 // raised.
-type quotaGranted struct {
+type grantedQuota struct {
 	team  string
 	cores float64
 	shard int
--- a/internal/coordination/grant_machines.go
+++ b/internal/coordination/grant_machines.go
@@ -17,7 +17,7 @@
 
 // grantMachines grants machines that are up and belong to no shard to the one
 // they were requested for, or to one whose pending tasks need such a machine.
-func (n *Node) grantMachines(builder *grantBuilder, statuses []*ShardStatus, token uint64, now time.Time) []machineGranted {
+func (n *Node) grantMachines(builder *grantBuilder, statuses []*ShardStatus, token uint64, now time.Time) []grantedMachine {
 	assigner := machineAssigner{
 		builder:      builder,
 		statuses:     statuses,
@@ -29,7 +29,7 @@
 			assigner.requestedFor[booting.id] = booting.shard
 		}
 	}
-	var granted []machineGranted
+	var granted []grantedMachine
 	for _, machine := range n.leadership.freeMachines(n.records.ShardOfMachine, now, n.timing.WorkerTimeout) {
 		shard, ok := assigner.selectShard(machine)
 		if !ok {
@@ -44,7 +44,7 @@
 			FencingToken: token,
 			GrantedAt:    now.Add(time.Second - 1).Unix(), // rounded up
 		})
-		granted = append(granted, machineGranted{id: machine.id, shard: shard})
+		granted = append(granted, grantedMachine{id: machine.id, shard: shard})
 	}
 	return granted
 }
--- a/internal/coordination/grant_quota.go
+++ b/internal/coordination/grant_quota.go
@@ -11,15 +11,15 @@
 	// minGrantedQuota is the least quota worth granting: less is a rounding
 	// error.
 	minGrantedQuota = 1e-6
-	// reserveParts is how many parts of a shard's even share of a team's limit
+	// minShareDivisor is how many parts of a shard's even share of a team's limit
 	// there are: one of them is granted at least, if there is enough for all.
-	reserveParts = 4
+	minShareDivisor = 4
 )
 
 // grantQuota grants what no shard has of the teams' quotas to shards that ask
 // for it.
-func (n *Node) grantQuota(builder *grantBuilder, statuses []*ShardStatus) []quotaGranted {
-	var granted []quotaGranted
+func (n *Node) grantQuota(builder *grantBuilder, statuses []*ShardStatus) []grantedQuota {
+	var granted []grantedQuota
 	for _, team := range slices.Sorted(maps.Keys(n.teams)) {
 		granted = append(granted, n.grantTeamQuota(builder, statuses, team)...)
 	}
@@ -27,12 +27,12 @@
 }
 
 // grantTeamQuota grants what no shard has of one team's quota.
-func (n *Node) grantTeamQuota(builder *grantBuilder, statuses []*ShardStatus, team string) []quotaGranted {
+func (n *Node) grantTeamQuota(builder *grantBuilder, statuses []*ShardStatus, team string) []grantedQuota {
 	limit := n.teams[team].limit
 	free := n.ungrantedQuota(team)
 	desired := totalDesired(statuses, team)
 	fairShares := n.divideQuota(team)
-	var granted []quotaGranted
+	var granted []grantedQuota
 	for shard, status := range statuses {
 		if status == nil {
 			continue
@@ -50,7 +50,7 @@
 			continue
 		}
 		free = subtractAmounts(free, more)
-		granted = append(granted, quotaGranted{team: team, cores: more.Cores, shard: shard})
+		granted = append(granted, grantedQuota{team: team, cores: more.Cores, shard: shard})
 	}
 	return granted
 }
@@ -83,7 +83,7 @@
 		return 0
 	}
 	if desired < limit {
-		shortage = max(shortage, limit/float64(reserveParts*n.operator.Shards))
+		shortage = max(shortage, limit/float64(minShareDivisor*n.operator.Shards))
 	}
 	return max(0, min(free, shortage))
 }
--- a/internal/coordination/grant_shards.go
+++ b/internal/coordination/grant_shards.go
@@ -36,7 +36,7 @@
 		txn.Preconditions = append(txn.Preconditions, protocol.Precondition{Key: storage.GrantKey(shard)})
 		txn.Writes = append(txn.Writes, protocol.Write{Put: storage.GrantKey(shard), Value: n.initialGrant(shard)})
 	}
-	granted := &shardGranted{shard: shard, holder: newHolder.Name, fencingToken: token.Last}
+	granted := &grantedShard{shard: shard, holder: newHolder.Name, fencingToken: token.Last}
 	return &grantPlan{txn: txn, changes: grantChanges{shard: granted}}
 }
 
--- a/internal/coordination/guards_test.go
+++ b/internal/coordination/guards_test.go
@@ -79,9 +79,9 @@
 	now := time.Now()
 	s := newShard(0, storage.ShardLease{FencingToken: 7}, 50, now)
 	s.setGrant(storage.Grant{Machines: []storage.MachineLease{{Machine: "a", FencingToken: 3}, {Machine: "b", FencingToken: 5}}}, size4, now)
-	j := &job{id: "wk-1", spec: protocol.Job{ID: "wk-1", Team: "red", Type: "array", Tasks: 2}, revision: 40, need: placement.Resources{1, 0, 1}}
+	j := &job{id: "wk-1", spec: protocol.Job{ID: "wk-1", Team: "red", Type: "array", Tasks: 2}, revision: 40, taskResources: placement.Resources{1, 0, 1}}
 	s.addJob(j)
-	fresh := &job{id: "wk-2", spec: protocol.Job{ID: "wk-2", Team: "red", Type: "array", Tasks: 1}, revision: 60, need: placement.Resources{1, 0, 1}}
+	fresh := &job{id: "wk-2", spec: protocol.Job{ID: "wk-2", Team: "red", Type: "array", Tasks: 1}, revision: 60, taskResources: placement.Resources{1, 0, 1}}
 	s.addJob(fresh)
 	if !j.unconfirmed || fresh.unconfirmed {
 		t.Fatal("only jobs older than the lease are unconfirmed")
@@ -91,7 +91,7 @@
 	}
 	a, b := s.machines["a"], s.machines["b"]
 	s.receiveHeartbeat(a, &protocol.Heartbeat{Machine: "a", Session: 1, Sequence: 1, FencingToken: 3}, now)
-	if a.isReconciled() || len(s.buildOrders(a, now)) > 0 {
+	if a.isReconciled() || len(s.buildCommands(a, now)) > 0 {
 		t.Error("reconciled by a heartbeat with the old token")
 	}
 	s.receiveHeartbeat(a, &protocol.Heartbeat{Machine: "a", Session: 1, Sequence: 2, FencingToken: 7, Tasks: []protocol.TaskStatus{{Task: "wk-1/1", Attempt: 9, State: protocol.Running}}}, now)
@@ -118,7 +118,7 @@
 	s.setGrant(storage.Grant{Machines: []storage.MachineLease{{Machine: "a", FencingToken: 2}}}, size4, now)
 	m := s.machines["a"]
 	s.receiveHeartbeat(m, &protocol.Heartbeat{Machine: "a", Session: 1, Sequence: 1, FencingToken: 2, Tasks: []protocol.TaskStatus{{Task: "wk-1/0", Attempt: 1, State: protocol.Running}}}, now)
-	if o := s.buildOrders(m, now); len(o) != 0 || m.isSchedulable() || s.unreportedCapacity().Cores != 4 {
+	if o := s.buildCommands(m, now); len(o) != 0 || m.isSchedulable() || s.unreportedCapacity().Cores != 4 {
 		t.Errorf("orders %v, schedulable %v, counted %v", o, m.isSchedulable(), s.unreportedCapacity())
 	}
 	s.scaleIn(&planInput{}, now.Add(time.Hour), 0, func(machineKind) time.Duration { return 0 })
@@ -132,7 +132,7 @@
 func oneTask(now time.Time) (*shard, *machine, *job) {
 	s := newShard(0, storage.ShardLease{FencingToken: 1}, 1, now)
 	s.setGrant(storage.Grant{Machines: []storage.MachineLease{{Machine: "a", FencingToken: 2}}}, size4, now)
-	j := &job{id: "wk-1", spec: protocol.Job{ID: "wk-1", Team: "red", Type: "array", Tasks: 1}, revision: 9, need: placement.Resources{1, 0, 1}}
+	j := &job{id: "wk-1", spec: protocol.Job{ID: "wk-1", Team: "red", Type: "array", Tasks: 1}, revision: 9, taskResources: placement.Resources{1, 0, 1}}
 	s.addJob(j)
 	return s, s.machines["a"], j
 }
@@ -144,8 +144,8 @@
 	s, m, j := oneTask(now)
 	s.receiveHeartbeat(m, &protocol.Heartbeat{Machine: "a", Session: 1, Sequence: 1, FencingToken: 2}, now)
 	s.place(j, j.takePendingTask(), m)
-	first := s.buildOrders(m, now)
-	if len(first) != 1 || first[0].Verb != protocol.VerbStart || len(s.buildOrders(m, now)) != 0 {
+	first := s.buildCommands(m, now)
+	if len(first) != 1 || first[0].Verb != protocol.VerbStart || len(s.buildCommands(m, now)) != 0 {
 		t.Fatalf("orders %v", first)
 	}
 	s.receiveHeartbeat(m, &protocol.Heartbeat{Machine: "a", Session: 1, Sequence: 2, FencingToken: 2}, now)
@@ -153,7 +153,7 @@
 		t.Fatal("the lost start still counts")
 	}
 	s.place(j, j.takePendingTask(), m)
-	if second := s.buildOrders(m, now); len(second) != 1 || second[0].Attempt <= first[0].Attempt {
+	if second := s.buildCommands(m, now); len(second) != 1 || second[0].Attempt <= first[0].Attempt {
 		t.Errorf("attempt numbers do not grow: %v then %v", first, second)
 	}
 }
@@ -192,7 +192,7 @@
 	s := newShard(0, storage.ShardLease{FencingToken: 1}, 1, now)
 	s.setGrant(storage.Grant{Machines: []storage.MachineLease{{Machine: "a", FencingToken: 2}, {Machine: "b", FencingToken: 2}}}, size4, now)
 	j := &job{id: "wk-1", spec: protocol.Job{ID: "wk-1", Team: "red", Type: "array", Tasks: 9}, revision: 9,
-		need: placement.Resources{1, 0, 1}, measuredTasks: 3, measuredSeconds: 30}
+		taskResources: placement.Resources{1, 0, 1}, measuredTasks: 3, measuredSeconds: 30}
 	s.addJob(j)
 	for i, task := range []struct {
 		machine string
@@ -357,7 +357,7 @@
 	now := time.Now()
 	s, m, j := oneTask(now)
 	s.receiveHeartbeat(m, &protocol.Heartbeat{Machine: "a", Address: "a:1", Session: 1, Sequence: 1, FencingToken: 2}, now)
-	s.buildOrders(m, now)
+	s.buildCommands(m, now)
 	r := s.place(j, j.takePendingTask(), m)
 	e, some := m.directTarget(now)
 	if !some || e.Commands != 1 {
@@ -372,16 +372,16 @@
 	if j.attempts[0] != r {
 		t.Fatal("dropped as absent, though the message may still arrive")
 	}
-	if o := s.buildOrders(m, now); len(o) != 1 || o[0].Attempt != r.number || o[0].Verb != protocol.VerbStart {
+	if o := s.buildCommands(m, now); len(o) != 1 || o[0].Attempt != r.number || o[0].Verb != protocol.VerbStart {
 		t.Fatalf("orders %v", o)
 	}
 	s.receiveHeartbeat(m, &protocol.Heartbeat{Machine: "a", Session: 1, Sequence: 3, FencingToken: 2}, now)
-	if o := s.buildOrders(m, now); j.attempts[0] != r || len(o) != 1 {
+	if o := s.buildCommands(m, now); j.attempts[0] != r || len(o) != 1 {
 		t.Fatalf("the answer was lost: orders %v", o)
 	}
 	s.receiveHeartbeat(m, &protocol.Heartbeat{Machine: "a", Session: 1, Sequence: 4, FencingToken: 2, Tasks: []protocol.TaskStatus{
 		{Task: "wk-1/0", Attempt: r.number, State: protocol.Exited, Cause: protocol.CauseStopped}}}, now)
-	if o := s.buildOrders(m, now); len(o) != 0 || len(j.attempts) != 0 || j.canPlaceOn(m) {
+	if o := s.buildCommands(m, now); len(o) != 0 || len(j.attempts) != 0 || j.canPlaceOn(m) {
 		t.Fatalf("orders %v, attempts %v, can be placed %v", o, j.attempts, j.canPlaceOn(m))
 	}
 	s.receiveHeartbeat(m, &protocol.Heartbeat{Machine: "a", Session: 2, Sequence: 5, FencingToken: 2}, now)
@@ -398,7 +398,7 @@
 	s.receiveHeartbeat(m, &protocol.Heartbeat{Machine: "a", Address: "a:1", Session: 1, Sequence: 1, FencingToken: 2}, now)
 	r := s.place(j, j.takePendingTask(), m)
 	f := directTarget{s, m}.buildMessage(now)
-	s.finishDirect(&f, DirectAnswer{Done, &protocol.Heartbeat{Machine: "a", Session: 1, Sequence: 3, FencingToken: 2,
+	s.finishDirect(&f, DirectAnswer{DirectDone, &protocol.Heartbeat{Machine: "a", Session: 1, Sequence: 3, FencingToken: 2,
 		Tasks: []protocol.TaskStatus{{Task: "wk-1/0", Attempt: r.number, State: protocol.Running}}}}, now)
 	if r.status != protocol.Running || m.exchange.InFlight() {
 		t.Fatalf("status %q, in flight %v", r.status, m.exchange.InFlight())
--- a/internal/coordination/heartbeat.go
+++ b/internal/coordination/heartbeat.go
@@ -129,7 +129,7 @@
 	}
 	return HeartbeatAnswer{
 		Status:   http.StatusOK,
-		Response: protocol.HeartbeatResponse{FencingToken: s.machineToken(m), Commands: s.buildOrders(m, now)},
+		Response: protocol.HeartbeatResponse{FencingToken: s.machineToken(m), Commands: s.buildCommands(m, now)},
 	}
 }
 
--- a/internal/coordination/heartbeat_wait_test.go
+++ b/internal/coordination/heartbeat_wait_test.go
@@ -212,7 +212,7 @@
 // remove deletes a record from a controller's copy.
 func remove(n *Node, key string) {
 	for _, change := range n.records.Apply([]protocol.Change{{Delete: key, Revision: 30}}) {
-		n.reactTo(change)
+		n.handleChange(change)
 	}
 }
 
--- a/internal/coordination/job.go
+++ b/internal/coordination/job.go
@@ -32,14 +32,14 @@
 // A task of the job is done, has an attempt, or is pending. It becomes pending
 // again when its attempt is dropped before it completed.
 type job struct {
-	id           string
-	spec         protocol.Job
-	revision     uint64
-	shard        int
-	submittedAt  time.Time
-	submittedMS  int64
-	need         placement.Resources // of one task
-	machineTypes map[string]bool     // nil: any
+	id            string
+	spec          protocol.Job
+	revision      uint64
+	shard         int
+	submittedAt   time.Time
+	submittedMS   int64
+	taskResources placement.Resources // of one task
+	machineTypes  map[string]bool     // nil: any
 
 	// Tasks.
 	done               storage.IndexSet
@@ -76,9 +76,9 @@
 	preemptions     map[int]int       // by task: how often it was preempted
 
 	// Errors of its tasks, see recordTaskError.
-	failedOn   map[string]bool // machines on which tasks failed since one completed
-	backoff    time.Duration   // between the last two attempts of a job that fails everywhere
-	retryAfter time.Time
+	failedMachines map[string]bool // machines on which tasks failed since one completed
+	backoff        time.Duration   // between the last two attempts of a job that fails everywhere
+	retryAfter     time.Time
 
 	// Waiting beside room in another shard, see migration_to_room.go.
 	unplacedSince time.Time  // since when every plan has left a task of it without a machine; zero: the last did not
@@ -137,11 +137,11 @@
 	return -1
 }
 
-// addNeed adds what so many tasks of the job need to its team's amount.
-func (j *job) addNeed(byTeam map[string]storage.Resources, tasks int) {
+// addTaskResources adds what so many tasks of the job need to its team's amount.
+func (j *job) addTaskResources(byTeam map[string]storage.Resources, tasks int) {
 	amount := byTeam[j.spec.Team]
-	amount.Cores += float64(tasks) * j.need[placement.Cores]
-	amount.GPUs += float64(tasks) * j.need[placement.Cards]
+	amount.Cores += float64(tasks) * j.taskResources[placement.Cores]
+	amount.GPUs += float64(tasks) * j.taskResources[placement.Cards]
 	byTeam[j.spec.Team] = amount
 }
 
--- a/internal/coordination/job_migration.go
+++ b/internal/coordination/job_migration.go
@@ -154,7 +154,7 @@
 		target = n.leastLoadedOpenShard(summary)
 		return target, target >= 0 && target != s.index && n.isShardFull(s.index, s.bootingCount())
 	}
-	cores := float64(j.pendingTasks()) * j.need[0]
+	cores := float64(j.pendingTasks()) * j.taskResources[0]
 	best, lowest := -1, math.Inf(1)
 	for i, to := range summary.shards {
 		if load := to.load(cores); i != s.index && to.available > 0 && load < lowest {
--- a/internal/coordination/job_status.go
+++ b/internal/coordination/job_status.go
@@ -31,7 +31,7 @@
 	case err != nil:
 		return protocol.JobStatus{}, ErrUnavailable
 	case stored.end != nil:
-		return endStatus(id, *stored.end), nil
+		return endedJobStatus(id, *stored.end), nil
 	case stored.live == nil:
 		return protocol.JobStatus{}, ErrJobNotFound
 	}
@@ -62,11 +62,11 @@
 	if err != nil {
 		return protocol.JobStatus{}, ErrUnavailable
 	}
-	return endStatus(id, end), nil
+	return endedJobStatus(id, end), nil
 }
 
-// endStatus returns the status of a job that has ended.
-func endStatus(id string, end storage.EndedJob) protocol.JobStatus {
+// endedJobStatus returns the status of a job that has ended.
+func endedJobStatus(id string, end storage.EndedJob) protocol.JobStatus {
 	return protocol.JobStatus{ID: id, Status: end.Status, Done: end.Completed}
 }
 
@@ -103,7 +103,7 @@
 // accepted, which its end tells. While the copy is read anew, or if it can't show
 // the record, the store is asked for both.
 func (n *Node) lookupJob(ctx context.Context, id string) (storedJob, error) {
-	if end, ok := n.knownEnd(id); ok {
+	if end, ok := n.cachedEndedJob(id); ok {
 		return storedJob{end: &end}, nil
 	}
 	switch err := n.confirm(ctx); {
@@ -121,12 +121,12 @@
 	case live != nil:
 		return storedJob{live: live}, nil
 	}
-	end, err := n.readEnd(ctx, id)
+	end, err := n.readEndedJob(ctx, id)
 	return storedJob{end: end}, err
 }
 
-// knownEnd returns a job's end, if this controller has read it. Ends are final.
-func (n *Node) knownEnd(id string) (storage.EndedJob, bool) {
+// cachedEndedJob returns a job's end, if this controller has read it. Ends are final.
+func (n *Node) cachedEndedJob(id string) (storage.EndedJob, bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	end, ok := n.ends.get(id)
@@ -144,14 +144,14 @@
 	if !errors.Is(err, storage.ErrNotFound) {
 		return storedJob{}, err
 	}
-	end, err := n.readEnd(ctx, id)
+	end, err := n.readEndedJob(ctx, id)
 	return storedJob{end: end}, err
 }
 
-// readEnd returns a job's end, reading it from the store if it is not known; nil
+// readEndedJob returns a job's end, reading it from the store if it is not known; nil
 // if the job has none.
-func (n *Node) readEnd(ctx context.Context, id string) (*storage.EndedJob, error) {
-	if end, ok := n.knownEnd(id); ok {
+func (n *Node) readEndedJob(ctx context.Context, id string) (*storage.EndedJob, error) {
+	if end, ok := n.cachedEndedJob(id); ok {
 		return &end, nil
 	}
 	item, err := n.store.Get(ctx, storage.EndedJobKey(id))
--- a/internal/coordination/job_writes.go
+++ b/internal/coordination/job_writes.go
@@ -76,7 +76,7 @@
 			write := jobWrite{job: j, done: j.done.Len()}
 			write.txn.Preconditions = jobPreconditions(s, j)
 			if j.isComplete() && !j.spec.IsService() {
-				write.end = n.newEnd(protocol.Done, write.done, &j.spec)
+				write.end = n.newEndedJob(protocol.Done, write.done, &j.spec)
 				write.txn.Writes = []protocol.Write{
 					{Delete: storage.JobKey(j.id)},
 					{Put: storage.EndedJobKey(j.id), Value: write.end},
@@ -145,7 +145,7 @@
 // checkRecordSize leaves them all but the specification's share. Tasks that
 // don't fit are left out.
 func (n *Node) encodeCompleted(j *job) string {
-	return j.done.StringWithin(int(n.settings.Deployment.State.ValueKB*1024) * (specShare - 1) / specShare)
+	return j.done.StringWithin(int(n.settings.Deployment.State.ValueKB*1024) * (specSizeDivisor - 1) / specSizeDivisor)
 }
 
 // unsavedChunks returns the completion chunks that hold tasks which the records
@@ -219,9 +219,9 @@
 	return all.Len() >= done
 }
 
-// newEnd returns the end record of a job. Former versions write fewer of its
+// newEndedJob returns the end record of a job. Former versions write fewer of its
 // fields, and read no more.
-func (n *Node) newEnd(status string, done int, spec *protocol.Job) *storage.EndedJob {
+func (n *Node) newEndedJob(status string, done int, spec *protocol.Job) *storage.EndedJob {
 	end := &storage.EndedJob{Status: status, Completed: done}
 	if n.records.DependenciesEnabled() {
 		end.EndedAtMS, end.IsService = n.now().UnixMilli(), spec.IsService()
--- a/internal/coordination/late_start_test.go
+++ b/internal/coordination/late_start_test.go
@@ -20,7 +20,7 @@
 	s, m, j := oneTask(now)
 	j.spec.Tasks = 2
 	attempt := startUnanswered(s, m, j, protocol.CauseDone, now)
-	if len(s.buildOrders(m, now)) != 0 || !m.exchange.StartMayArrive(attempt.key) {
+	if len(s.buildCommands(m, now)) != 0 || !m.exchange.StartMayArrive(attempt.key) {
 		t.Fatal("the machine is told to forget the attempt, though a copy of its start may arrive")
 	}
 	if !j.done.Contains(0) || j.pendingTasks() != 1 {
--- a/internal/coordination/latency.go
+++ b/internal/coordination/latency.go
@@ -104,7 +104,7 @@
 	const largeTaskCores = 4
 	var cores, used, largeFree, notReady, silent, booting float64
 	for _, m := range s.machines {
-		size := m.size[placement.Cores]
+		size := m.capacity[placement.Cores]
 		switch {
 		case m.isSchedulable():
 			cores += size
--- a/internal/coordination/leadership.go
+++ b/internal/coordination/leadership.go
@@ -120,7 +120,7 @@
 		n.mu.Unlock()
 		return 0
 	}
-	leads := n.isSelf(n.records.Leader.Value)
+	leads := n.isOwnSession(n.records.Leader.Value)
 	n.store.SetLeading(leads, n.storeLimits().WriteRPS, n.settings.Deployment.Count)
 	if !leads {
 		n.revokeLeadership()
--- a/internal/coordination/leadership_test.go
+++ b/internal/coordination/leadership_test.go
@@ -15,11 +15,11 @@
 		want    string
 	}{
 		{"none", grantChanges{}, ""},
-		{"shard", grantChanges{shard: &shardGranted{shard: 3, holder: "n1", fencingToken: 17}}, "shard 3 to n1, term 17"},
+		{"shard", grantChanges{shard: &grantedShard{shard: 3, holder: "n1", fencingToken: 17}}, "shard 3 to n1, term 17"},
 		{"split", grantChanges{splitStep: "grant split"}, "grant split"},
 		{"machines and quota", grantChanges{
-			machines: []machineGranted{{"a", 0}, {"b", 2}},
-			quota:    []quotaGranted{{"red", 2.5, 1}},
+			machines: []grantedMachine{{"a", 0}, {"b", 2}},
+			quota:    []grantedQuota{{"red", 2.5, 1}},
 		}, " a->0 b->2 red+2.5->1"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/coordination/machine.go
+++ b/internal/coordination/machine.go
@@ -64,7 +64,7 @@
 type machine struct {
 	lease     storage.MachineLease
 	grantedAt time.Time // when it was granted under this lease; zero: before
-	size      placement.Resources
+	capacity  placement.Resources
 	used      placement.Resources
 	address   string
 
@@ -101,7 +101,7 @@
 func newMachine(lease storage.MachineLease, size placement.Resources, grantedNow bool, now time.Time) *machine {
 	m := &machine{
 		lease:        lease,
-		size:         size,
+		capacity:     size,
 		attempts:     map[taskKey]*taskAttempt{},
 		tasksToClear: map[taskKey]uint64{},
 		orphans:      map[taskKey]uint64{},
@@ -155,10 +155,10 @@
 	slog.Warn("machine cordoned: its tasks fail", "machine", m.lease.Machine)
 }
 
-// noteReclaimNotice records the cloud's notice, forwarded by the worker, that
+// recordReclaimNotice records the cloud's notice, forwarded by the worker, that
 // it will reclaim the machine in so many seconds; nil: no notice. The time is
 // that of the first notice: the following ones repeat it, with some delay.
-func (m *machine) noteReclaimNotice(inS *float64, now time.Time) {
+func (m *machine) recordReclaimNotice(inS *float64, now time.Time) {
 	if inS == nil {
 		m.reclaimAt = time.Time{}
 		return
@@ -173,7 +173,7 @@
 func (m *machine) hasReported() bool { return m.exchange.HasReported() }
 
 // freeCapacity returns the capacity that no placed task uses.
-func (m *machine) freeCapacity() placement.Resources { return m.size.Sub(m.used) }
+func (m *machine) freeCapacity() placement.Resources { return m.capacity.Sub(m.used) }
 
 // mayRunUnreportedTasks reports whether a machine may run tasks that are not
 // known here.
--- a/internal/coordination/machine_inventory.go
+++ b/internal/coordination/machine_inventory.go
@@ -20,23 +20,23 @@
 
 // cloudMachine is a machine that the cloud or its worker reported.
 type cloudMachine struct {
-	id              string
-	kind            machineKind
-	status          string
-	requestedAt     time.Time // approximately
-	firstListedAt   time.Time // when a list first showed it
-	lastHeartbeat   time.Time
-	reclaimWarned   bool
-	hasTasks        bool // its heartbeat lists tasks that have not ended
-	unassignedSince time.Time
-	granted         bool // some shard has had it
+	id               string
+	kind             machineKind
+	status           string
+	requestedAt      time.Time // approximately
+	firstListedAt    time.Time // when a list first showed it
+	lastHeartbeat    time.Time
+	reclaimAnnounced bool
+	hasTasks         bool // its heartbeat lists tasks that have not ended
+	unassignedSince  time.Time
+	granted          bool // some shard has had it
 }
 
 // isFree reports whether a machine that no shard has may be granted: it is up,
 // empty, and the cloud has not announced to take it back.
 func (m *cloudMachine) isFree(now time.Time, workerTimeout time.Duration) bool {
 	silent := m.lastHeartbeat.IsZero() || now.Sub(m.lastHeartbeat) > workerTimeout
-	return !silent && !m.hasTasks && !m.reclaimWarned
+	return !silent && !m.hasTasks && !m.reclaimAnnounced
 }
 
 // receiveHeartbeat applies a heartbeat of a machine that no shard has.
@@ -54,7 +54,7 @@
 		l.machines[report.Machine] = machine
 	}
 	machine.lastHeartbeat = now
-	machine.reclaimWarned = report.InterruptionSeconds != nil
+	machine.reclaimAnnounced = report.InterruptionSeconds != nil
 	machine.hasTasks = slices.ContainsFunc(report.Tasks, func(task protocol.TaskStatus) bool {
 		return task.State != protocol.Exited
 	})
--- a/internal/coordination/migration_to_room.go
+++ b/internal/coordination/migration_to_room.go
@@ -222,8 +222,8 @@
 		if count >= wanted {
 			break
 		}
-		if free := m.freeCapacity(); free.Fits(j.need) && j.canPlaceOn(m) {
-			count += free.CountFitting(j.need)
+		if free := m.freeCapacity(); free.Fits(j.taskResources) && j.canPlaceOn(m) {
+			count += free.CountFitting(j.taskResources)
 		}
 	}
 	return min(count, wanted)
@@ -233,8 +233,8 @@
 func (j *job) tasksIn(rooms []machineRoom) int {
 	count := 0
 	for _, room := range rooms {
-		if room.Free.Fits(j.need) && j.allows(room.Kind.MachineType, room.Kind.Zone, room.Kind.Spot) {
-			count += room.Free.CountFitting(j.need)
+		if room.Free.Fits(j.taskResources) && j.allows(room.Kind.MachineType, room.Kind.Zone, room.Kind.Spot) {
+			count += room.Free.CountFitting(j.taskResources)
 		}
 	}
 	return count
@@ -243,7 +243,7 @@
 // isWithinLimit reports whether a team that uses so much may run one more task
 // of a job.
 func (n *Node) isWithinLimit(j *job, usage map[string]storage.Resources) bool {
-	more := storage.Resources{Cores: j.need[placement.Cores], GPUs: j.need[placement.Cards]}
+	more := storage.Resources{Cores: j.taskResources[placement.Cores], GPUs: j.taskResources[placement.Cards]}
 	total, limit := addAmounts(usage[j.spec.Team], more), n.teams[j.spec.Team].limit
 	return isWithin(total.Cores, limit.Cores) && isWithin(total.GPUs, limit.GPUs)
 }
@@ -252,7 +252,7 @@
 // room for one task of the job; false if none has room.
 func (j *job) roomIn(rooms []machineRoom) (most float64, ok bool) {
 	for _, room := range rooms {
-		if room.Free.Fits(j.need) && j.allows(room.Kind.MachineType, room.Kind.Zone, room.Kind.Spot) {
+		if room.Free.Fits(j.taskResources) && j.allows(room.Kind.MachineType, room.Kind.Zone, room.Kind.Spot) {
 			most, ok = max(most, room.Free[placement.Cores]), true
 		}
 	}
--- a/internal/coordination/migration_to_room_test.go
+++ b/internal/coordination/migration_to_room_test.go
@@ -35,7 +35,7 @@
 	n.shards[0] = s
 	record, _ := json.Marshal(storage.Job{Spec: protocol.Job{ID: "wk-1"}})
 	n.apply(storage.JobKey("wk-1"), record, 9)
-	j := &job{id: "wk-1", revision: 9, submittedAt: now, receivedAt: now.Add(-time.Minute), need: placement.Resources{3, 0, 2}, unplacedSince: now.Add(-time.Minute)}
+	j := &job{id: "wk-1", revision: 9, submittedAt: now, receivedAt: now.Add(-time.Minute), taskResources: placement.Resources{3, 0, 2}, unplacedSince: now.Add(-time.Minute)}
 	j.spec = protocol.Job{ID: j.id, Team: "red", Type: "array", Tasks: 2, Cores: 3, MemoryGB: 2, EstimatedSeconds: 9, Spot: true}
 	s.jobs, s.queue = map[string]*job{}, []*job{j}
 	s.addJob(j)
@@ -70,11 +70,11 @@
 		{"all tasks in one zone", func(w *waitingNode) { w.job.spec.OneZone = true }, true},
 		{"tasks spread over zones", func(w *waitingNode) { w.job.spec.Spread = true }, true},
 		{"a service", func(w *waitingNode) { w.job.spec.Type = protocol.JobTypeService }, true},
-		{"the machine lacks memory", func(w *waitingNode) { w.job.need[placement.Memory] = 25 }, false},
-		{"the machine lacks cores", func(w *waitingNode) { w.job.need[placement.Cores] = 13 }, false},
-		{"the machine has no card", func(w *waitingNode) { w.job.need[placement.Cards] = 1 }, false},
+		{"the machine lacks memory", func(w *waitingNode) { w.job.taskResources[placement.Memory] = 25 }, false},
+		{"the machine lacks cores", func(w *waitingNode) { w.job.taskResources[placement.Cores] = 13 }, false},
+		{"the machine has no card", func(w *waitingNode) { w.job.taskResources[placement.Cards] = 1 }, false},
 		{"the machine has a card", func(w *waitingNode) {
-			w.job.need[placement.Cards] = 1
+			w.job.taskResources[placement.Cards] = 1
 			w.status.Shards[0].Room[0].Free[placement.Cards] = 2
 		}, true},
 		{"its shard has room, and lacks a share", func(w *waitingNode) { w.shard.room = []machineRoom{spotRoom()} }, false},
--- a/internal/coordination/model_check_test.go
+++ b/internal/coordination/model_check_test.go
@@ -148,7 +148,7 @@
 }
 
 func (x *explorer) addJob(stamp uint64) {
-	x.job = &job{id: "wk-1", revision: stamp, need: placement.Resources{1, 0, 1},
+	x.job = &job{id: "wk-1", revision: stamp, taskResources: placement.Resources{1, 0, 1},
 		spec: protocol.Job{ID: "wk-1", Team: "red", Type: "array", Tasks: 1, Cores: 1}}
 	if x.taskDone {
 		x.job.done.Add(0)
@@ -318,7 +318,7 @@
 	if d.reply == nil {
 		events["arrives "+at] = func() { x.arrives(d) }
 		if !d.givenUp {
-			events["not sent "+at] = func() { x.finishDirect(d, DirectAnswer{Outcome: Unsent}); x.forget(d) }
+			events["not sent "+at] = func() { x.finishDirect(d, DirectAnswer{Outcome: DirectUnsent}); x.forget(d) }
 			events["unanswered "+at] = func() { x.finishDirect(d, DirectAnswer{}); d.givenUp = true }
 		}
 	} else if !d.givenUp {
@@ -372,7 +372,7 @@
 
 func (x *explorer) canPlace(m *machine) bool {
 	j := x.job
-	return !x.cancelled && x.holder.jobs[j.id] == j && !j.unconfirmed && j.pendingTasks() > 0 && j.canPlaceOn(m) && m.freeCapacity().Fits(j.need) &&
+	return !x.cancelled && x.holder.jobs[j.id] == j && !j.unconfirmed && j.pendingTasks() > 0 && j.canPlaceOn(m) && m.freeCapacity().Fits(j.taskResources) &&
 		x.holder.remainingQuota(j, map[string]teamQuota{"red": {limit: storage.Resources{Cores: 1}}}, x.holder.unreportedCapacity()) > 0 && int(x.holder.attemptCount) < x.bounds.attempts
 }
 
@@ -397,7 +397,7 @@
 		x.workers[i].awaitsAnswer = false // 503
 		return
 	}
-	o := &protocol.HeartbeatResponse{FencingToken: s.machineToken(m), Commands: s.buildOrders(m, x.now)}
+	o := &protocol.HeartbeatResponse{FencingToken: s.machineToken(m), Commands: s.buildCommands(m, x.now)}
 	x.workers[i].answer, x.workers[i].answeredAfterCancel = o, x.cancelled
 }
 
@@ -447,9 +447,9 @@
 
 func (x *explorer) arrives(d *exDirect) {
 	w := x.workers[d.to]
-	a := &DirectAnswer{Outcome: Denied}
+	a := &DirectAnswer{Outcome: DirectRejected}
 	if d.payload.FencingToken >= w.token && d.payload.Session == w.session {
-		a.Outcome = Done
+		a.Outcome = DirectDone
 		w.token = d.payload.FencingToken
 		w.carryOut(d.payload.Commands, x)
 	}
@@ -582,7 +582,7 @@
 		rep(r)
 	}
 	j := x.job
-	p("J%v%v%d%v%d %d %v", j.unconfirmed, j.ended, j.nextTask, j.retry, x.holder.attemptCount, j.done.Len(), len(j.failedOn))
+	p("J%v%v%d%v%d %d %v", j.unconfirmed, j.ended, j.nextTask, j.retry, x.holder.attemptCount, j.done.Len(), len(j.failedMachines))
 	return b.String()
 }
 
--- a/internal/coordination/node.go
+++ b/internal/coordination/node.go
@@ -38,7 +38,7 @@
 	store     *storage.Client
 	cloud     Cloud
 	peers     map[string]Peer
-	direct    Direct
+	direct    DirectSender
 	limiter   *dispatch.Limiter
 	guards    dispatch.DisabledGuards // disabled one at a time by tests
 	now       func() time.Time
@@ -55,7 +55,7 @@
 
 	session controllerSession
 	records *clusterstate.Records
-	ends    endCache
+	ends    endedJobCache
 
 	// What follows from the records.
 	teams         map[string]teamQuota
@@ -113,7 +113,7 @@
 
 // New returns a controller; Run starts it. Without a store, a cloud or peers, as
 // some tests make it, it must not run.
-func New(settings *config.Settings, operator config.Operator, store *storage.Client, cloud Cloud, peers map[string]Peer, direct Direct) *Node {
+func New(settings *config.Settings, operator config.Operator, store *storage.Client, cloud Cloud, peers map[string]Peer, direct DirectSender) *Node {
 	n := &Node{
 		settings: settings,
 		operator: operator,
@@ -129,7 +129,7 @@
 		records: clusterstate.New(func(record *storage.Job) float64 {
 			return deadlineSeconds(record, settings.Deployment.Objectives)
 		}),
-		ends: newEndCache(),
+		ends: newEndedJobCache(),
 
 		teams:         teamQuotas(settings.Deployment.Teams),
 		serviceLevels: newServiceLevels(),
--- a/internal/coordination/overview.go
+++ b/internal/coordination/overview.go
@@ -151,10 +151,10 @@
 		MachineType:    m.lease.MachineType,
 		Zone:           m.lease.Zone,
 		Kind:           "ordinary",
-		State:          m.stateInWords(),
+		State:          m.displayState(),
 		Tasks:          len(m.attempts),
 		UsedCores:      m.used[0],
-		Cores:          m.size[0],
+		Cores:          m.capacity[0],
 		SinceHeartbeat: now.Sub(m.lastAnswered).Round(overviewTimeUnit),
 	}
 	if m.lease.Spot {
@@ -163,9 +163,9 @@
 	return view
 }
 
-// stateInWords returns the state of a machine as operators read it: of several
+// displayState returns the state of a machine as operators read it: of several
 // that apply, the one that says most about what will become of it.
-func (m *machine) stateInWords() string {
+func (m *machine) displayState() string {
 	switch {
 	case m.releasing:
 		return "given back"
--- a/internal/coordination/placement.go
+++ b/internal/coordination/placement.go
@@ -45,7 +45,7 @@
 // canRunOn reports whether one more task of a job may run on a machine beside
 // the job's others, whatever else is there.
 func (j *job) canRunOn(m *machine) bool {
-	return j.allowsMachine(m) && !j.failedOn[m.lease.Machine] && j.zoneAllows(m.lease.Zone)
+	return j.allowsMachine(m) && !j.failedMachines[m.lease.Machine] && j.zoneAllows(m.lease.Zone)
 }
 
 // hasTaskFor reports whether the job has a pending task that may be started on a
@@ -92,8 +92,8 @@
 			tasks = min(tasks, int((share-spent)/need+roundingError))
 		}
 	}
-	limit(quota.limit.Cores, share.Cores, used.Cores+unreported.Cores, j.need[placement.Cores])
-	limit(quota.limit.GPUs, share.GPUs, used.GPUs+unreported.GPUs, j.need[placement.Cards])
+	limit(quota.limit.Cores, share.Cores, used.Cores+unreported.Cores, j.taskResources[placement.Cores])
+	limit(quota.limit.GPUs, share.GPUs, used.GPUs+unreported.GPUs, j.taskResources[placement.Cards])
 	return max(tasks, 0)
 }
 
@@ -109,7 +109,7 @@
 	var unplaced []unplacedTasks
 	for _, j := range s.queue {
 		pending := j.pendingTasks()
-		j.addNeed(s.desired, pending)
+		j.addTaskResources(s.desired, pending)
 		allowed := min(pending, s.remainingQuota(j, p.input.teams, p.unreported))
 		placed := 0
 		if j.spec.IsGang() {
@@ -139,7 +139,7 @@
 	if count <= 0 {
 		return unplaced
 	}
-	j.addNeed(p.claimed, count)
+	j.addTaskResources(p.claimed, count)
 	return append(unplaced, unplacedTasks{j, count})
 }
 
@@ -151,7 +151,7 @@
 	isLeaving := func(j *job) bool { return j.isLeaving() && !j.migrating && !j.ended }
 	for _, j := range sortedBySubmission(p.shard.jobs, isLeaving) {
 		pending := j.pendingTasks()
-		j.addNeed(p.shard.desired, pending)
+		j.addTaskResources(p.shard.desired, pending)
 		leaving = p.appendUnplaced(leaving, j, pending)
 	}
 	return leaving
@@ -190,8 +190,8 @@
 	add := func(j *job) {
 		smallest := s.smallestTask[j.spec.Team]
 		s.smallestTask[j.spec.Team] = storage.Resources{
-			Cores: smaller(smallest.Cores, j.need[placement.Cores]),
-			GPUs:  smaller(smallest.GPUs, j.need[placement.Cards]),
+			Cores: smaller(smallest.Cores, j.taskResources[placement.Cores]),
+			GPUs:  smaller(smallest.GPUs, j.taskResources[placement.Cards]),
 		}
 	}
 	for _, j := range s.queue {
@@ -216,13 +216,13 @@
 	var unreported storage.Resources
 	known := false
 	for _, j := range s.queue {
-		if !free.Fits(j.need) || !s.canFillWith(j, m) {
+		if !free.Fits(j.taskResources) || !s.canFillWith(j, m) {
 			continue
 		}
 		if !known { // costly, and most heartbeats free no capacity
 			unreported, known = s.unreportedCapacity(), true
 		}
-		for n := s.remainingQuota(j, teams, unreported); n > 0 && free.Fits(j.need) && j.zoneAllows(m.lease.Zone); n-- {
+		for n := s.remainingQuota(j, teams, unreported); n > 0 && free.Fits(j.taskResources) && j.zoneAllows(m.lease.Zone); n-- {
 			task := j.takeTaskFor(m)
 			if task < 0 {
 				break
@@ -261,10 +261,10 @@
 	if count == 0 {
 		return nil
 	}
-	selector := p.input.params.NewSelector(j.need)
+	selector := p.input.params.NewSelector(j.taskResources)
 	for i, m := range machines {
-		if m.freeCapacity().Fits(j.need) && j.canPlaceOn(m) {
-			selector.Add(i, m.freeCapacity(), m.size, preference(j, m, p.shard.acquiredAt))
+		if m.freeCapacity().Fits(j.taskResources) && j.canPlaceOn(m) {
+			selector.Add(i, m.freeCapacity(), m.capacity, preference(j, m, p.shard.acquiredAt))
 		}
 	}
 	var placed []*taskAttempt
@@ -309,10 +309,10 @@
 	if len(jobs) == 0 {
 		return placement.Resources{}
 	}
-	smallest := jobs[0].need
+	smallest := jobs[0].taskResources
 	for _, j := range jobs[1:] {
 		for d := range smallest {
-			smallest[d] = min(smallest[d], j.need[d])
+			smallest[d] = min(smallest[d], j.taskResources[d])
 		}
 	}
 	return smallest
--- a/internal/coordination/plan_bench_test.go
+++ b/internal/coordination/plan_bench_test.go
@@ -35,7 +35,7 @@
 	p := &planInput{params: placement.UCfit{A: 2, B: 1, C: 0.2}, machineTypes: simMachineTypes, maxMachines: machines, heartbeatInterval: 5 * time.Second,
 		teams: map[string]teamQuota{"red": {limit: storage.Resources{Cores: 1e6}}}, hasNoCapacity: func(machineKind) bool { return true }}
 	add := func(id, tasks int, cores float64) *job {
-		j := &job{id: fmt.Sprintf("wk-%06d", id), revision: 9, submittedAt: now, need: placement.Resources{cores, 0, 2}}
+		j := &job{id: fmt.Sprintf("wk-%06d", id), revision: 9, submittedAt: now, taskResources: placement.Resources{cores, 0, 2}}
 		j.spec = protocol.Job{ID: j.id, Team: "red", Type: "array", Priority: "normal", Tasks: tasks, Cores: cores, MemoryGB: 2, EstimatedSeconds: 30, Spot: true, Image: "i"}
 		s.addJob(j)
 		return j
@@ -85,14 +85,14 @@
 		for b.Loop() {
 			sequence++
 			m := list[int(sequence)%len(list)]
-			s.buildOrders(m, now)
+			s.buildCommands(m, now)
 			r := runningReport(m, sequence, 2)
 			if len(r.Tasks) > 0 {
 				r.Tasks[0].State, r.Tasks[0].Cause = protocol.Exited, protocol.CauseStopped
 			}
 			s.receiveHeartbeat(m, r, now)
 			s.fillMachine(m, p.teams)
-			s.buildOrders(m, now)
+			s.buildCommands(m, now)
 		}
 	})
 }
@@ -117,12 +117,12 @@
 			s.setGrant(g, func(string) (placement.Resources, bool) { return placement.Resources{8, 0, 32}, true }, now)
 			s.shares = old.shares
 			for id, j := range old.jobs {
-				s.addJob(&job{id: id, revision: 9, submittedAt: now, need: j.need, spec: j.spec})
+				s.addJob(&job{id: id, revision: 9, submittedAt: now, taskResources: j.taskResources, spec: j.spec})
 			}
 			for _, r := range reports {
 				m := s.machines[r.Machine]
 				s.receiveHeartbeat(m, r, now)
-				s.buildOrders(m, now)
+				s.buildCommands(m, now)
 			}
 			if !s.reconciled {
 				b.Fatal("not settled")
--- a/internal/coordination/preemption.go
+++ b/internal/coordination/preemption.go
@@ -24,7 +24,7 @@
 		free, found := m.freeCapacity(), false
 		for _, attempt := range m.attempts {
 			if attempt.stopRequested {
-				free, found = free.Add(attempt.job.need), true
+				free, found = free.Add(attempt.job.taskResources), true
 			}
 		}
 		if found && m.isSchedulable() {
@@ -43,8 +43,8 @@
 	for _, tasks := range unplaced {
 		j := tasks.job
 		for _, space := range spaces {
-			for tasks.count > 0 && space.capacity.Fits(j.need) && j.canRunOn(space.machine) {
-				space.capacity = space.capacity.Sub(j.need)
+			for tasks.count > 0 && space.capacity.Fits(j.taskResources) && j.canRunOn(space.machine) {
+				space.capacity = space.capacity.Sub(j.taskResources)
 				tasks.count--
 			}
 		}
@@ -98,7 +98,7 @@
 // machine.
 func (p *planner) preemptionCandidates(j *job, preemptor policy.Preemptor) []preemptionCandidate {
 	// Preempting work that costs more than the task itself is no gain.
-	maxWork := j.need[placement.Cores] * max(j.spec.EstimatedSeconds, 1)
+	maxWork := j.taskResources[placement.Cores] * max(j.spec.EstimatedSeconds, 1)
 	var candidates []preemptionCandidate
 	for _, m := range p.machines {
 		if !m.isSchedulable() || !j.canRunOn(m) {
@@ -150,10 +150,10 @@
 	}
 	victims := make([]placement.Victim, len(attempts))
 	for k, attempt := range attempts {
-		victims[k] = placement.Victim{Resources: attempt.job.need, Cost: tasks[k].PreemptionCost()}
+		victims[k] = placement.Victim{Resources: attempt.job.taskResources, Cost: tasks[k].PreemptionCost()}
 	}
 	var chosen []int
-	chosen, candidate.loss = placement.SelectVictims(m.freeCapacity(), j.need, victims)
+	chosen, candidate.loss = placement.SelectVictims(m.freeCapacity(), j.taskResources, victims)
 	for _, k := range chosen {
 		candidate.attempts = append(candidate.attempts, attempts[k])
 		candidate.lostWork += (tasks[k].LostSeconds + 1) * max(tasks[k].Cores, 0.1)
@@ -209,7 +209,7 @@
 		BeyondMinQuota:  victim.spec.Team != preemptor.spec.Team && p.isBeyondGuarantee(victim),
 		BelowMinService: p.serviceLevels.isBelowMinimum(victim),
 		Preemptions:     victim.preemptions[a.key.task],
-		Cores:           victim.need[placement.Cores],
+		Cores:           victim.taskResources[placement.Cores],
 		LostSeconds:     lost,
 	}
 }
@@ -218,5 +218,5 @@
 // guarantee with one task of the job less.
 func (p *planInput) isBeyondGuarantee(j *job) bool {
 	usage, guarantee := p.usage[j.spec.Team], p.teams[j.spec.Team].guarantee
-	return usage.Cores-j.need[placement.Cores] >= guarantee.Cores && usage.GPUs-j.need[placement.Cards] >= guarantee.GPUs
+	return usage.Cores-j.taskResources[placement.Cores] >= guarantee.Cores && usage.GPUs-j.taskResources[placement.Cards] >= guarantee.GPUs
 }
--- a/internal/coordination/queue.go
+++ b/internal/coordination/queue.go
@@ -86,7 +86,7 @@
 func (s *shard) addCapacity(snapshot *policy.Snapshot, input *planInput, now time.Time) {
 	for _, m := range s.machines {
 		if m.isSchedulable() {
-			snapshot.Cores += m.size[placement.Cores]
+			snapshot.Cores += m.capacity[placement.Cores]
 		}
 	}
 	for _, request := range s.booting {
@@ -175,5 +175,5 @@
 	for _, attempt := range j.attempts {
 		work += max(0, j.spec.EstimatedSeconds-attempt.secondsRunning(now))
 	}
-	return work * j.need[placement.Cores]
+	return work * j.taskResources[placement.Cores]
 }
--- a/internal/coordination/reconcile.go
+++ b/internal/coordination/reconcile.go
@@ -50,7 +50,7 @@
 	if report.FencingToken >= s.machineToken(m) {
 		m.markReconciled()
 	}
-	m.noteReclaimNotice(report.InterruptionSeconds, now)
+	m.recordReclaimNotice(report.InterruptionSeconds, now)
 	s.reconcileMachine(m, report, now)
 	s.updateReconciled()
 	return true
@@ -123,7 +123,7 @@
 		j.measuredSeconds += now.Sub(attempt.startedAt).Seconds()
 	}
 	m.taskErrors = 0
-	clear(j.failedOn)
+	clear(j.failedMachines)
 	j.backoff = 0
 }
 
@@ -148,11 +148,11 @@
 // is cordoned after two errors; a job that fails on several machines without
 // ever completing a task is delayed instead.
 func (s *shard) recordTaskError(m *machine, j *job, now time.Time) {
-	if j.failedOn == nil {
-		j.failedOn = map[string]bool{}
+	if j.failedMachines == nil {
+		j.failedMachines = map[string]bool{}
 	}
-	j.failedOn[m.lease.Machine] = true
-	if len(j.failedOn) >= maxMachinesFailedOn && j.done.Len() == 0 {
+	j.failedMachines[m.lease.Machine] = true
+	if len(j.failedMachines) >= maxMachinesFailedOn && j.done.Len() == 0 {
 		j.backoff = min(max(taskErrorDelayFactor*j.backoff, minTaskErrorDelay), maxTaskErrorDelay)
 		j.retryAfter = now.Add(j.backoff)
 		return
@@ -190,21 +190,21 @@
 	return j != nil && task < j.spec.Tasks && j.isTaskPending(task) && (!m.isReconciled() || j.unconfirmed)
 }
 
-// buildOrders returns the orders that answer a heartbeat.
-func (s *shard) buildOrders(m *machine, now time.Time) []protocol.Command {
-	orders := s.clearOrders(m)
+// buildCommands returns the orders that answer a heartbeat.
+func (s *shard) buildCommands(m *machine, now time.Time) []protocol.Command {
+	orders := s.clearCommands(m)
 	orders = append(orders, s.startsBeforeStops(m)...)
-	orders = append(orders, s.stopOrders(m, now)...)
+	orders = append(orders, s.stopCommands(m, now)...)
 	if m.isReconciled() && !m.cordoned && !m.releasing {
-		orders = append(orders, s.startOrders(m, now)...)
+		orders = append(orders, s.startCommands(m, now)...)
 	}
 	m.lastAnswered = now
 	return orders
 }
 
-// clearOrders has the worker forget ended tasks. It returns an empty list
+// clearCommands has the worker forget ended tasks. It returns an empty list
 // rather than nil, as the answer's encoding shows the difference.
-func (s *shard) clearOrders(m *machine) []protocol.Command {
+func (s *shard) clearCommands(m *machine) []protocol.Command {
 	orders := []protocol.Command{}
 	for key, attempt := range m.tasksToClear {
 		j := s.jobs[key.job]
@@ -234,10 +234,10 @@
 	return orders
 }
 
-// startOrders returns the starts that the answer to a heartbeat has to carry:
+// startCommands returns the starts that the answer to a heartbeat has to carry:
 // those not sent yet, and those sent directly that the worker has not reported
 // yet.
-func (s *shard) startOrders(m *machine, now time.Time) []protocol.Command {
+func (s *shard) startCommands(m *machine, now time.Time) []protocol.Command {
 	var orders []protocol.Command
 	for _, attempt := range m.attempts {
 		if attempt.stopRequested || attempt.job.ended || !attempt.start.IsDue() {
@@ -252,9 +252,9 @@
 	return orders
 }
 
-// stopOrders returns the stop orders that are due on a machine: for orphans,
+// stopCommands returns the stop orders that are due on a machine: for orphans,
 // which get no time to save a checkpoint, and for attempts.
-func (s *shard) stopOrders(m *machine, now time.Time) []protocol.Command {
+func (s *shard) stopCommands(m *machine, now time.Time) []protocol.Command {
 	var orders []protocol.Command
 	for key, number := range m.orphans {
 		orders = append(orders, stopCommand(key, number, 0))
--- a/internal/coordination/record_changes.go
+++ b/internal/coordination/record_changes.go
@@ -27,15 +27,15 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, change := range n.records.Apply(batch) {
-		n.reactTo(change)
+		n.handleChange(change)
 	}
 	n.checkOwnKey()
 	n.syncShards()
 	n.resolveDependencies()
 }
 
-// reactTo carries out what follows from one change of the records.
-func (n *Node) reactTo(change clusterstate.Change) {
+// handleChange carries out what follows from one change of the records.
+func (n *Node) handleChange(change clusterstate.Change) {
 	switch change := change.(type) {
 	case clusterstate.ControllerChange:
 		if n.session.past[change.Name] == nil {
@@ -97,8 +97,8 @@
 	}
 }
 
-// isSelf reports whether a record names this controller's present session.
-func (n *Node) isSelf(controller storage.Controller) bool {
+// isOwnSession reports whether a record names this controller's present session.
+func (n *Node) isOwnSession(controller storage.Controller) bool {
 	return controller.Name == n.settings.HostName && controller.Session == n.session.id && n.session.id != 0
 }
 
@@ -114,7 +114,7 @@
 func (n *Node) acquireOrReleaseShard(i int) {
 	record, ok := n.records.Shards[i]
 	held := n.shards[i]
-	if !ok || !n.isSelf(record.Value.Holder) {
+	if !ok || !n.isOwnSession(record.Value.Holder) {
 		if held != nil {
 			slog.Info("shard released", "shard", i, "fencing_token", held.fencingToken)
 			delete(n.shards, i)
@@ -154,19 +154,19 @@
 func (n *Node) newJobWithDone(jr *clusterstate.JobRecord, done storage.IndexSet) *job {
 	spec := jr.Record.Spec
 	j := &job{
-		id:          spec.ID,
-		spec:        spec,
-		revision:    jr.Revision,
-		shard:       jr.Record.Shard,
-		submittedMS: jr.Record.AcceptedAtMS,
-		receivedAt:  n.now(),
-		submittedAt: n.monotonicTime(jr.Record.AcceptedAtMS),
-		need:        placement.Resources{spec.Cores, spec.GPUs, spec.MemoryGB},
-		done:        done,
-		savedCount:  done.Len(),
-		urgency:     spec.PriorityLevel(),
-		deadlineMS:  math.Inf(1),
-		blocked:     len(spec.DependsOn) > 0, // until the ends of its dependencies are known
+		id:            spec.ID,
+		spec:          spec,
+		revision:      jr.Revision,
+		shard:         jr.Record.Shard,
+		submittedMS:   jr.Record.AcceptedAtMS,
+		receivedAt:    n.now(),
+		submittedAt:   n.monotonicTime(jr.Record.AcceptedAtMS),
+		taskResources: placement.Resources{spec.Cores, spec.GPUs, spec.MemoryGB},
+		done:          done,
+		savedCount:    done.Len(),
+		urgency:       spec.PriorityLevel(),
+		deadlineMS:    math.Inf(1),
+		blocked:       len(spec.DependsOn) > 0, // until the ends of its dependencies are known
 	}
 	if spec.DeadlineSeconds != nil {
 		j.deadlineMS = float64(jr.Record.AcceptedAtMS) + 1000**spec.DeadlineSeconds
--- a/internal/coordination/scale_out.go
+++ b/internal/coordination/scale_out.go
@@ -43,7 +43,7 @@
 	planner.maxNew = s.maxNewMachines(bootingCount, input)
 	withoutMachine := map[string]storage.Resources{} // by team: what no machine will take, booting ones included
 	for _, tasks := range unplaced {
-		tasks.job.addNeed(withoutMachine, tasks.count-planner.pack(tasks))
+		tasks.job.addTaskResources(withoutMachine, tasks.count-planner.pack(tasks))
 	}
 	for _, tasks := range reclaimed {
 		planner.pack(tasks)
@@ -63,7 +63,7 @@
 		isLate := m.health == failuredetector.Suspect || m.isJustGranted(p.input.heartbeatInterval, now)
 		isUsable := !m.isExpired() && !m.cordoned && !m.slow && !m.releasing && m.reclaimAt.IsZero()
 		if isLate && isUsable {
-			p.bins = append(p.bins, scaleOutBin{kind: m.kind(), free: m.freeCapacity(), size: m.size})
+			p.bins = append(p.bins, scaleOutBin{kind: m.kind(), free: m.freeCapacity(), size: m.capacity})
 		}
 	}
 }
@@ -111,9 +111,9 @@
 	kinds := j.suitableKinds(p.input)
 	p.addSuitableKinds(kinds)
 	newKind, canRequest := p.shard.selectKind(j, kinds, p.input)
-	selector := p.input.params.NewSelector(j.need)
+	selector := p.input.params.NewSelector(j.taskResources)
 	for i, bin := range p.bins {
-		if bin.free.Fits(j.need) && j.allows(bin.kind.MachineType, bin.kind.Zone, bin.kind.Spot) {
+		if bin.free.Fits(j.taskResources) && j.allows(bin.kind.MachineType, bin.kind.Zone, bin.kind.Spot) {
 			selector.Add(i, bin.free, bin.size, 0)
 		}
 	}
@@ -127,7 +127,7 @@
 			selector.Add(i, p.bins[i].free, p.bins[i].size, 0)
 		}
 		selector.PlaceOnBest()
-		p.bins[i].free = p.bins[i].free.Sub(j.need)
+		p.bins[i].free = p.bins[i].free.Sub(j.taskResources)
 		if !p.bins[i].isNew {
 			onKnownMachines++
 		}
@@ -200,7 +200,7 @@
 func (j *job) suitableKinds(input *planInput) []machineKind {
 	var kinds []machineKind
 	for _, machineType := range input.machineTypes {
-		if !clusterstate.SizeOf(machineType).Fits(j.need) {
+		if !clusterstate.SizeOf(machineType).Fits(j.taskResources) {
 			continue
 		}
 		for _, zone := range machineType.Zones {
@@ -218,7 +218,7 @@
 // once it is free, or machines boot: then they can wait.
 func (s *shard) canHostLater(j *job) bool {
 	for _, m := range s.machines {
-		if m.isSchedulable() && m.size.Fits(j.need) && j.allows(m.lease.MachineType, m.lease.Zone, m.lease.Spot) {
+		if m.isSchedulable() && m.capacity.Fits(j.taskResources) && j.allows(m.lease.MachineType, m.lease.Zone, m.lease.Spot) {
 			return true
 		}
 	}
@@ -237,7 +237,7 @@
 	slices.SortStableFunc(candidates, func(a, b machineKind) int { return inZone[a.Zone] - inZone[b.Zone] })
 	i := input.params.SelectBest(len(candidates), func(i int) (placement.Resources, placement.Resources, bool) {
 		size := input.machineSize(candidates[i].MachineType)
-		return size.Sub(j.need), size, true
+		return size.Sub(j.taskResources), size, true
 	})
 	return candidates[i], true
 }
--- a/internal/coordination/schema.go
+++ b/internal/coordination/schema.go
@@ -44,7 +44,7 @@
 	case n.records.VersionMarkers[n.settings.HostName].Value.Version < storage.SchemaLatest:
 		step = "version marker"
 		txn.Writes = []protocol.Write{{Put: storage.VersionMarkerKey(n.settings.HostName), Value: schema}}
-	case upgraded >= n.settings.Deployment.Count && n.isSelf(n.records.Leader.Value):
+	case upgraded >= n.settings.Deployment.Count && n.isOwnSession(n.records.Leader.Value):
 		step = "schema version"
 		txn.Preconditions = []protocol.Precondition{{Key: storage.SchemaVersionKey, Revision: n.records.SchemaVersion.Revision}}
 		txn.Writes = []protocol.Write{{Put: storage.SchemaVersionKey, Value: schema}}
--- a/internal/coordination/service.go
+++ b/internal/coordination/service.go
@@ -45,7 +45,7 @@
 func (s Service) Submit(ctx context.Context, body []byte) (int, any) {
 	j, err := protocol.ParseJob(body)
 	if err != nil {
-		return s.answerMalformed(ctx, body, err)
+		return s.handleMalformed(ctx, body, err)
 	}
 	receivedAt := s.Node.latency.StartTimer()
 	submission, err := s.Node.Submit(ctx, j)
@@ -60,12 +60,12 @@
 	return http.StatusCreated, submission.Status
 }
 
-// answerMalformed answers a submission that can't be decoded. One that repeats
+// handleMalformed answers a submission that can't be decoded. One that repeats
 // an accepted job's ID is answered with the job's status, whatever else is
 // wrong with it: a 400 would tell the user that the job does not exist. Only
 // the store knows whether it was accepted; without the store nothing is
 // refused.
-func (s Service) answerMalformed(ctx context.Context, body []byte, parseError error) (int, any) {
+func (s Service) handleMalformed(ctx context.Context, body []byte, parseError error) (int, any) {
 	id, ok := protocol.ExtractJobID(body)
 	if ok {
 		status, err := s.Node.JobStatus(ctx, id)
@@ -82,23 +82,23 @@
 
 // JobStatus answers GET /v1/jobs/{id}.
 func (s Service) JobStatus(ctx context.Context, id string) (int, any) {
-	return answerJob(ctx, id, s.Node.JobStatus)
+	return handleJobRequest(ctx, id, s.Node.JobStatus)
 }
 
 // Cancel answers POST /v1/jobs/{id}/withdraw.
 func (s Service) Cancel(ctx context.Context, id string) (int, any) {
-	return answerJob(ctx, id, s.Node.Cancel)
+	return handleJobRequest(ctx, id, s.Node.Cancel)
 }
 
 // Dependencies answers GET /v1/jobs/{id}/waits: the job's dependencies.
 func (s Service) Dependencies(ctx context.Context, id string) (int, any) {
-	return answerJob(ctx, id, s.Node.Dependencies)
+	return handleJobRequest(ctx, id, s.Node.Dependencies)
 }
 
-// answerJob answers a request about one job with what the node's function
+// handleJobRequest answers a request about one job with what the node's function
 // returns for it. A job whose ID is malformed was never accepted, so no store is
 // asked.
-func answerJob[T any](ctx context.Context, id string, ask func(context.Context, string) (T, error)) (int, any) {
+func handleJobRequest[T any](ctx context.Context, id string, ask func(context.Context, string) (T, error)) (int, any) {
 	if !protocol.ValidJobID(id) {
 		return errorResponse(ErrJobNotFound)
 	}
--- a/internal/coordination/shard.go
+++ b/internal/coordination/shard.go
@@ -162,8 +162,8 @@
 			delete(s.unconfirmed, m)
 			continue
 		}
-		total.Cores += max(0, m.size[placement.Cores]-m.used[placement.Cores])
-		total.GPUs += max(0, m.size[placement.Cards]-m.used[placement.Cards])
+		total.Cores += max(0, m.capacity[placement.Cores]-m.used[placement.Cores])
+		total.GPUs += max(0, m.capacity[placement.Cards]-m.used[placement.Cards])
 	}
 	return total
 }
--- a/internal/coordination/share_stall_test.go
+++ b/internal/coordination/share_stall_test.go
@@ -15,7 +15,7 @@
 // machine, and what it plans by: the cloud has none to give.
 func stalledShard(now time.Time) (*shard, *planInput) {
 	s, input := busyShard(0, now)
-	j := &job{id: "wk-1", revision: 9, submittedAt: now, need: placement.Resources{2, 0, 2}}
+	j := &job{id: "wk-1", revision: 9, submittedAt: now, taskResources: placement.Resources{2, 0, 2}}
 	j.spec = protocol.Job{ID: j.id, Team: "red", Type: "array", Tasks: 40, Cores: 2, MemoryGB: 2, EstimatedSeconds: 30, Spot: true}
 	s.addJob(j)
 	input.teams = map[string]teamQuota{"red": {limit: storage.Resources{Cores: 80}}}
--- a/internal/coordination/sim_direct_test.go
+++ b/internal/coordination/sim_direct_test.go
@@ -69,7 +69,7 @@
 	// The process may be paused between reading the clock and sending.
 	time.Sleep(delay + max(still, 0))
 	if fate < unsentPercent {
-		return DirectAnswer{Outcome: Unsent}
+		return DirectAnswer{Outcome: DirectUnsent}
 	}
 	answer := make(chan DirectAnswer, 1)
 	w.spawn(func() {
@@ -87,7 +87,7 @@
 		return a
 	case <-time.After(directTimeout):
 		if w.disabledGuards.binding {
-			return DirectAnswer{Outcome: Unsent}
+			return DirectAnswer{Outcome: DirectUnsent}
 		}
 		return DirectAnswer{}
 	}
@@ -138,13 +138,13 @@
 		return DirectAnswer{}, false
 	}
 	m.checkLease(time.Now())
-	a := DirectAnswer{Outcome: Denied}
+	a := DirectAnswer{Outcome: DirectRejected}
 	accepted := c.FencingToken >= m.token && c.Session == m.session
 	if c.delayed {
 		c.recordLateCommand(m, accepted)
 	}
 	if accepted {
-		a.Outcome = Done
+		a.Outcome = DirectDone
 		m.token = c.FencingToken
 		if m.cannotSend {
 			w.recordEventLocked("direct command to a mute machine")
--- a/internal/coordination/sim_world_test.go
+++ b/internal/coordination/sim_world_test.go
@@ -468,7 +468,7 @@
 					shares += fmt.Sprintf(" %s of %s waits with %d tasks of %g cores for %q since %s;", id, j.spec.Team, j.pendingTasks(), j.spec.Cores, j.waitReason, j.unplacedSince.Format(time.TimeOnly))
 				}
 				text := fmt.Sprintf("shard %d, %s %g cores, %d of %d done, %d waiting, unconfirmed %v blocked %v migrating %v to %d, failed on %v retry after %v, %d booting, requests %v:", k, j.spec.Team, j.spec.Cores,
-					j.done.Len(), j.spec.Tasks, j.pendingTasks(), j.unconfirmed, j.blocked, j.migrating, j.migrationTarget, j.failedOn, j.retryAfter.Format(time.TimeOnly), s.bootingCount(), s.scaleOut)
+					j.done.Len(), j.spec.Tasks, j.pendingTasks(), j.unconfirmed, j.blocked, j.migrating, j.migrationTarget, j.failedMachines, j.retryAfter.Format(time.TimeOnly), s.bootingCount(), s.scaleOut)
 				for t, r := range j.attempts {
 					text += fmt.Sprintf(" %d on %s %s start %+v stopping %v,", t, r.machine.lease.Machine, r.status, r.start, r.stopRequested)
 				}
@@ -512,6 +512,6 @@
 func applyGrant(n *Node, i int, g storage.Grant, stamp uint64) {
 	raw, _ := json.Marshal(g)
 	for _, change := range n.records.Apply([]protocol.Change{{Put: storage.GrantKey(i), Value: raw, Revision: stamp}}) {
-		n.reactTo(change)
+		n.handleChange(change)
 	}
 }
--- a/internal/coordination/submission.go
+++ b/internal/coordination/submission.go
@@ -32,9 +32,9 @@
 	// quotaTolerance is by how much, in cores or GPUs, a sum may exceed a quota
 	// and still count as within it: sums of fractions are not exact.
 	quotaTolerance = 1e-9
-	// specShare is the part of a value, one in so many, that a job's
+	// specSizeDivisor is the part of a value, one in so many, that a job's
 	// specification may take while completed tasks are kept in the same record.
-	specShare = 4
+	specSizeDivisor = 4
 )
 
 // Submission is the answer to a submission that was accepted.
@@ -57,15 +57,15 @@
 	switch {
 	case ended:
 		// Ends are final: this answer holds without a lease too.
-		return Submission{endStatus(j.ID, end), true}, nil
+		return Submission{endedJobStatus(j.ID, end), true}, nil
 	case !canDecide:
 		return Submission{}, ErrUnavailable
 	case active:
-		return n.answerDuplicate(ctx, j.ID)
+		return n.handleDuplicate(ctx, j.ID)
 	}
 	record, err := n.newJobRecord(ctx, j, now)
 	if errors.As(err, new(*InvalidJobError)) {
-		return n.refuse(ctx, j.ID, err)
+		return n.rejectUnlessAccepted(ctx, j.ID, err)
 	}
 	if err != nil {
 		return Submission{}, err
@@ -73,9 +73,9 @@
 	return n.acceptJob(ctx, record)
 }
 
-// answerDuplicate answers a submission of a job that the store has shown to be
+// handleDuplicate answers a submission of a job that the store has shown to be
 // accepted. If it can't be found now, that does not mean that it was not.
-func (n *Node) answerDuplicate(ctx context.Context, id string) (Submission, error) {
+func (n *Node) handleDuplicate(ctx context.Context, id string) (Submission, error) {
 	status, err := n.JobStatus(ctx, id)
 	if errors.Is(err, ErrJobNotFound) {
 		err = ErrUnavailable
@@ -83,10 +83,10 @@
 	return Submission{status, true}, err
 }
 
-// refuse refuses a job that can never run, unless it was accepted: an accepted
+// rejectUnlessAccepted refuses a job that can never run, unless it was accepted: an accepted
 // job is never refused, even if the catalog, or what a record may hold, has
 // changed since.
-func (n *Node) refuse(ctx context.Context, id string, invalid error) (Submission, error) {
+func (n *Node) rejectUnlessAccepted(ctx context.Context, id string, invalid error) (Submission, error) {
 	status, err := n.JobStatus(ctx, id)
 	if errors.Is(err, ErrJobNotFound) {
 		return Submission{}, invalid
@@ -135,7 +135,7 @@
 		slog.Debug("job accepted", "job", spec.ID, "class", spec.Class, "team", spec.Team, "tasks", spec.Tasks, "cores", spec.Cores, "shard", record.Shard)
 		return Submission{Status: protocol.JobStatus{ID: spec.ID, Status: protocol.Pending}}, nil
 	case errors.Is(err, storage.ErrConflict):
-		return n.answerDuplicate(ctx, spec.ID)
+		return n.handleDuplicate(ctx, spec.ID)
 	}
 	refusalLog.Do(func() { slog.Info("submission write failed", "job", spec.ID, "err", err) })
 	return Submission{}, ErrUnavailable
@@ -150,7 +150,7 @@
 	if n.records.CompletionChunksEnabled() {
 		n.removeUnknownMachineTypes(&record.Spec)
 	} else {
-		maxBytes /= specShare
+		maxBytes /= specSizeDivisor
 	}
 	raw, err := json.Marshal(record)
 	if err != nil || len(raw) > maxBytes {
--- a/internal/coordination/task_attempt.go
+++ b/internal/coordination/task_attempt.go
@@ -142,13 +142,13 @@
 func (s *shard) attachAttempt(a *taskAttempt) {
 	j, m := a.job, a.machine
 	m.attempts[a.key] = a
-	m.used = m.used.Add(j.need)
+	m.used = m.used.Add(j.taskResources)
 	m.images[j.spec.Image] = true
 	if j.attempts[a.key.task] == nil && !j.done.Contains(a.key.task) {
 		j.unfinishedAttempts++
 	}
 	j.attempts[a.key.task] = a
-	j.addNeed(s.used, 1)
+	j.addTaskResources(s.used, 1)
 }
 
 // dropAttempt forgets an attempt that is certainly no longer on its machine.
@@ -160,7 +160,7 @@
 	s.capacityFreed = true
 	s.recordLost(a)
 	delete(m.attempts, a.key)
-	m.used = m.used.Sub(j.need)
+	m.used = m.used.Sub(j.taskResources)
 	if j.attempts[a.key.task] == a {
 		delete(j.attempts, a.key.task)
 		if !j.done.Contains(a.key.task) {
@@ -176,8 +176,8 @@
 // releaseQuota takes one task of a job off what its team uses.
 func (s *shard) releaseQuota(j *job) {
 	usage := s.used[j.spec.Team]
-	usage.Cores = subtractAmount(usage.Cores, j.need[placement.Cores])
-	usage.GPUs = subtractAmount(usage.GPUs, j.need[placement.Cards])
+	usage.Cores = subtractAmount(usage.Cores, j.taskResources[placement.Cores])
+	usage.GPUs = subtractAmount(usage.GPUs, j.taskResources[placement.Cards])
 	s.used[j.spec.Team] = usage
 }
 
