--- a/internal/coordination/cancellation.go
+++ b/internal/coordination/cancellation.go
@@ -9,15 +9,16 @@
 	"reedtrack/internal/storage"
 )
 
-// maxCancelAttempts is how often a cancellation is tried whose write fails since
-// the job's record has changed meanwhile: by a migration or, before the schema
-// upgrade, by the job's progress (see progressInterval). A second attempt is
-// rare, and a user whose four fail can retry.
+// maxCancelAttempts bounds how often a cancellation is attempted while the
+// job's record keeps changing concurrently: by a migration or, before the
+// schema upgrade, by progress writes (see progressInterval). Even a second
+// attempt is rare, and a user whose four attempts fail can retry.
 const maxCancelAttempts = 4
 
-// Cancel cancels a job, and returns its status. It returns without an error only
-// once the store has the job's end, which a cancellation that came too late does
-// not change. It fails with ErrJobNotFound or ErrUnavailable.
+// Cancel cancels a job and returns its status. It succeeds only once the store
+// holds the job's end record; a cancellation that arrives after the job has
+// ended does not change that record. It fails with ErrJobNotFound or
+// ErrUnavailable.
 func (n *Node) Cancel(ctx context.Context, id string) (protocol.JobStatus, error) {
 	for range maxCancelAttempts {
 		stored, err := n.lookupJob(ctx, id)
@@ -40,8 +41,9 @@
 	return protocol.JobStatus{}, ErrUnavailable
 }
 
-// writeCancellation replaces a job's record by its cancellation in one
-// transaction, unless the record has changed, and returns the end that it wrote.
+// writeCancellation replaces a job's record with a cancelled end record in one
+// transaction, provided the job's record is unchanged, and returns the end
+// record.
 func (n *Node) writeCancellation(ctx context.Context, live *clusterstate.JobRecord) (storage.EndedJob, error) {
 	spec := &live.Record.Spec
 	n.mu.Lock()
--- a/internal/coordination/catalog.go
+++ b/internal/coordination/catalog.go
@@ -13,17 +13,19 @@
 )
 
 const (
-	// catalogReadInterval is how often the leader reads the catalog: its prices
-	// change rarely.
+	// catalogReadInterval is how often the leader reads the catalog; its
+	// prices rarely change.
 	catalogReadInterval = time.Minute
-	// catalogRetryDelay is how long a failed read or write waits before both are
-	// repeated: without machine types the other controllers acquire no shard.
+	// catalogRetryDelay is the delay before the read and the write are
+	// repeated after either has failed: without machine types the other
+	// controllers acquire no shard.
 	catalogRetryDelay = 2 * time.Second
-	// defaultBootTime is assumed for a machine type that the catalog lacks.
+	// defaultBootTime is assumed for a machine type that is missing from the
+	// catalog.
 	defaultBootTime = time.Minute
 )
 
-// readCatalog reads the machine types and prices that the cloud offers, and
+// readCatalog reads the machine types and prices that the cloud offers and
 // stores them for the other controllers.
 func (n *Node) readCatalog(ctx context.Context) {
 	catalog, err := n.cloud.Catalog(ctx)
@@ -46,7 +48,7 @@
 	n.wakeLoops()
 }
 
-// retryCatalog lets the catalog be read again after a while.
+// retryCatalog schedules the next catalog read after catalogRetryDelay.
 func (n *Node) retryCatalog() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -55,8 +57,8 @@
 	}
 }
 
-// catalogWrites returns the writes that store a catalog: one value, or chunks
-// if it is too large for that.
+// catalogWrites returns the writes that store a catalog: a single value, or
+// chunks if it exceeds the size limit of a value.
 func catalogWrites(catalog protocol.Catalog, limits config.Limits) []protocol.Write {
 	if fitsValue(catalog, limits) {
 		return []protocol.Write{{Put: storage.CatalogKey, Value: catalog}}
@@ -70,14 +72,14 @@
 	return writes
 }
 
-// splitCatalog divides a catalog into chunks that fit into one value each, their
-// number not yet filled in.
+// splitCatalog splits a catalog into chunks that fit into one value each. The
+// caller sets their ChunkCount.
 func splitCatalog(catalog protocol.Catalog, limits config.Limits) []storage.CatalogChunk {
 	var chunks []storage.CatalogChunk
 	for _, machineType := range catalog.MachineTypes {
 		if last := len(chunks) - 1; last >= 0 {
 			larger := storage.CatalogChunk{
-				ChunkCount:   protocol.MaxBodyBytes, // not known yet; no count has more digits
+				ChunkCount:   protocol.MaxBodyBytes, // placeholder: no count has more digits
 				MachineTypes: append(slices.Clone(chunks[last].MachineTypes), machineType),
 			}
 			if fitsValue(larger, limits) {
@@ -90,7 +92,7 @@
 	return chunks
 }
 
-// fitsValue reports whether the store accepts a value of this size.
+// fitsValue reports whether a value is within the store's size limit.
 func fitsValue(value any, limits config.Limits) bool {
 	raw, err := json.Marshal(value)
 	return err == nil && len(raw) <= limits.MaxValueBytes()
--- a/internal/coordination/catalog_write_test.go
+++ b/internal/coordination/catalog_write_test.go
@@ -10,8 +10,9 @@
 	"reedtrack/internal/storage"
 )
 
-// The leader stores the machine types again soon after a write that failed or got no
-// answer. The other controllers once had none for a minute, and so acquired no shard.
+// The leader stores the machine types again soon after a write that failed or
+// was not answered. Waiting for the next regular read left the other
+// controllers without machine types for a minute, so they acquired no shard.
 func TestFailedCatalogWriteIsRepeated(t *testing.T) {
 	for name, fate := range map[string]forcedFate{
 		"refused":              {refused: true},
--- a/internal/coordination/cloud.go
+++ b/internal/coordination/cloud.go
@@ -13,32 +13,33 @@
 )
 
 const (
-	// cloudRateFraction is the part of the cloud's rate limit that is used: the
-	// rest is a margin, so that no call is refused.
+	// cloudRateFraction is the fraction of the cloud's rate limit that is
+	// used; the rest is a margin, so that no call is refused.
 	cloudRateFraction = 0.9
-	// cloudPollInterval is how often it is checked whether a call is due.
+	// cloudPollInterval is how often to check whether a call is due.
 	cloudPollInterval = 100 * time.Millisecond
-	// minListInterval is the least time between two requests of the list.
+	// minListInterval is the minimum time between two list requests.
 	minListInterval = time.Second
-	// listRetryDelay and releaseRetryDelay are how long failed calls wait
-	// before they are repeated.
+	// listRetryDelay and releaseRetryDelay are the delays before a failed call
+	// is repeated.
 	listRetryDelay    = time.Second
 	releaseRetryDelay = 500 * time.Millisecond
 	// returnedMaxIdle is how long a machine that a holder returned is kept for
-	// another shard: the holder has waited already.
+	// another shard. It is short because the holder has already waited before
+	// returning it.
 	returnedMaxIdle = 4 * statusInterval
-	// bootTimeoutFactor is after how many times its type's boot time a machine
-	// that has never sent a heartbeat is released.
+	// bootTimeoutFactor times the boot time of its type is how long a machine
+	// may take to send its first heartbeat before it is released.
 	bootTimeoutFactor = 4
 )
 
-// cloudErrorLog bounds the log during an outage of the cloud.
+// cloudErrorLog limits logging during a cloud outage.
 var cloudErrorLog = rate.Sometimes{First: 5, Interval: 10 * time.Second}
 
-// cloudCall is a call to the cloud, which also applies the outcome.
+// cloudCall is a call to the cloud that also applies its result.
 type cloudCall func(context.Context)
 
-// cloudLoop makes the leader's calls to the cloud, one after the other.
+// cloudLoop makes the leader's calls to the cloud, one at a time.
 func (n *Node) cloudLoop(ctx context.Context) {
 	budget := rate.NewLimiter(rate.Limit(n.settings.Deployment.Cloud.RPS*cloudRateFraction), 1)
 	for ctx.Err() == nil {
@@ -54,7 +55,7 @@
 }
 
 // readyCloudCall returns the call to make now; nil if there is none or this
-// controller doesn't lead.
+// controller is not the leader.
 func (n *Node) readyCloudCall() cloudCall {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -64,7 +65,8 @@
 	return n.nextCloudCall(n.leadership, n.now())
 }
 
-// nextCloudCall selects the next call to the cloud, scale-out first; nil if
+// nextCloudCall selects the next call to the cloud: a catalog read that is
+// due, then scale-out, release and list, in this order. It returns nil if
 // there is none.
 func (n *Node) nextCloudCall(leadership *leadership, now time.Time) cloudCall {
 	if n.records.MachineTypes == nil || now.Sub(leadership.catalogReadAt) > catalogReadInterval {
@@ -76,8 +78,8 @@
 			return n.scaleOutCall(leadership, booting, now)
 		}
 	}
-	if names := n.machinesToRelease(leadership, now); len(names) > 0 {
-		return func(ctx context.Context) { n.releaseMachines(ctx, leadership, names) }
+	if ids := n.machinesToRelease(leadership, now); len(ids) > 0 {
+		return func(ctx context.Context) { n.releaseMachines(ctx, leadership, ids) }
 	}
 	listLag := config.Seconds(n.settings.Deployment.Cloud.ListLagS)
 	if now.Sub(leadership.listedAt) > max(listLag, minListInterval) {
@@ -86,26 +88,28 @@
 	return nil
 }
 
-// machinesToRelease lists machines that no shard needs, and those that failed.
+// machinesToRelease lists machines granted to no shard that are cordoned or
+// should be released, at most as many as one call may release.
 func (n *Node) machinesToRelease(leadership *leadership, now time.Time) []string {
 	if !leadership.isReady(now) {
 		return nil
 	}
-	var names []string
+	var ids []string
 	for id, machine := range leadership.machines {
 		if _, granted := n.records.ShardOfMachine[id]; granted {
 			continue
 		}
 		if leadership.cordoned[id] || n.shouldRelease(machine, now) {
-			names = append(names, id)
+			ids = append(ids, id)
 		}
 	}
-	slices.Sort(names)
-	return names[:min(len(names), protocol.MaxMachinesPerRelease)]
+	slices.Sort(ids)
+	return ids[:min(len(ids), protocol.MaxMachinesPerRelease)]
 }
 
-// shouldRelease reports whether a machine that no shard has is of no use: it failed,
-// doesn't report, runs tasks of nobody, or nobody has wanted it for too long.
+// shouldRelease reports whether a machine granted to no shard should be
+// released: it failed, sends no heartbeats, runs tasks although no shard has
+// it, or has been unassigned for too long.
 func (n *Node) shouldRelease(machine *cloudMachine, now time.Time) bool {
 	if machine.status == machineFailed || machine.hasTasks {
 		return true
@@ -125,16 +129,16 @@
 }
 
 // releaseMachines returns machines to the cloud.
-func (n *Node) releaseMachines(ctx context.Context, leadership *leadership, names []string) {
-	err := n.cloud.Release(ctx, names)
-	slog.Info("machines released", "machines", names, "err", err)
+func (n *Node) releaseMachines(ctx context.Context, leadership *leadership, ids []string) {
+	err := n.cloud.Release(ctx, ids)
+	slog.Info("machines released", "machines", ids, "err", err)
 	if err != nil {
 		sleep(ctx, releaseRetryDelay)
 		return
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	for _, id := range names {
+	for _, id := range ids {
 		leadership.forget(id)
 	}
 }
--- a/internal/coordination/dependencies.go
+++ b/internal/coordination/dependencies.go
@@ -14,23 +14,25 @@
 )
 
 const (
-	// maxDependencyRequests is how many requests of each kind, reads of ends and
-	// cancellations, one round of the dependency loop sends to the store at the
-	// same time. The rest wait for the next round, which follows at once.
+	// maxDependencyRequests limits how many requests of each kind (reads of
+	// end records, cancellations) one round of the dependency loop sends
+	// concurrently. The rest follow in the next round, which starts
+	// immediately.
 	maxDependencyRequests = 8
-	// msPerSecond converts the seconds of a job's specification to the
-	// milliseconds of its records.
+	// msPerSecond converts seconds in job specifications to milliseconds in
+	// job records.
 	msPerSecond = 1000
 )
 
-// dependentIndex lists the live jobs that depend directly on each live job, by
-// the ID of the latter.
+// dependentIndex maps the ID of each live job to the live jobs that depend on
+// it directly.
 type dependentIndex map[string][]*clusterstate.JobRecord
 
-// resolveDependencies derives which jobs are blocked, unblocked or to be
-// cancelled, and which urgency and deadline jobs inherit from their dependents.
-// Only stored ends decide: a job that is missing from the copy of the records
-// may have ended either way, and its end is read before it counts.
+// resolveDependencies determines which jobs are blocked, unblocked or to be
+// cancelled, and which urgency and deadline jobs inherit from their
+// dependents. Only end records in the store decide: a job that is missing from
+// the local copy of the records may have completed or been cancelled, so its
+// end record is read before it counts.
 func (n *Node) resolveDependencies() {
 	n.inheritFromDependents(n.evaluateAllDependencies())
 	now := n.now()
@@ -42,9 +44,9 @@
 	}
 }
 
-// evaluateAllDependencies updates all jobs from their dependencies, direct or
-// not, collects the dependencies whose ends have to be read, and returns which
-// jobs depend on which.
+// evaluateAllDependencies updates the dependency state of all jobs, including
+// transitive dependencies, collects the dependencies whose end records have to
+// be read, and returns the dependents of each job.
 func (n *Node) evaluateAllDependencies() dependentIndex {
 	dependents := dependentIndex{}
 	var cancelled []*clusterstate.JobRecord
@@ -94,8 +96,8 @@
 	state.Unblocked = !state.Pending && !unknown && !state.Cancelled
 }
 
-// propagateCancellation marks all that depend, directly or not, on the given
-// jobs, which have a cancelled dependency.
+// propagateCancellation marks all direct and transitive dependents of the
+// given jobs, which themselves have a cancelled dependency.
 func (d dependentIndex) propagateCancellation(cancelled []*clusterstate.JobRecord) {
 	for len(cancelled) > 0 {
 		jr := cancelled[len(cancelled)-1]
@@ -109,7 +111,8 @@
 	}
 }
 
-// inheritFromDependents derives the urgency and the deadline of all jobs.
+// inheritFromDependents derives the effective urgency and deadline of all
+// jobs.
 func (n *Node) inheritFromDependents(dependents dependentIndex) {
 	seen := map[string]bool{}
 	for _, jr := range n.records.Jobs {
@@ -117,9 +120,10 @@
 	}
 }
 
-// inheritUrgency gives a job the highest urgency of its dependents, and the
-// deadline that leaves them their estimated time. A job can only name jobs
-// accepted before it, so there is no cycle.
+// inheritUrgency raises a job's urgency to the highest of its dependents, and
+// brings its deadline forward so that their estimated run times fit before
+// their own deadlines. A job can only name jobs accepted before it, so there
+// is no cycle.
 func (d dependentIndex) inheritUrgency(jr *clusterstate.JobRecord, seen map[string]bool) {
 	spec := &jr.Record.Spec
 	if seen[spec.ID] {
@@ -140,7 +144,7 @@
 	}
 }
 
-// updateShardJobs passes what was derived on to the jobs of this controller's
+// updateShardJobs copies the derived state to the jobs of this controller's
 // shards, and returns how many of them are blocked.
 func (n *Node) updateShardJobs(now time.Time) int {
 	blockedCount := 0
@@ -160,7 +164,8 @@
 	return blockedCount
 }
 
-// unblock lets a job be placed, and its times count from then on.
+// unblock makes a blocked job startable. Its submission time becomes
+// unblockedMS, so its waiting time counts from then.
 func (n *Node) unblock(s *shard, j *job, unblockedMS int64, now time.Time) {
 	j.blocked = false
 	j.startableAt = now
@@ -170,8 +175,8 @@
 	slog.Debug("job unblocked", "job", j.id)
 }
 
-// recordCancelledSince notes since when jobs have a cancelled dependency, and reports
-// whether there are any.
+// recordCancelledSince records since when each job has had a cancelled
+// dependency, and reports whether there is such a job.
 func (n *Node) recordCancelledSince(now time.Time) bool {
 	found := false
 	for _, jr := range n.records.Jobs {
@@ -186,9 +191,9 @@
 	return found
 }
 
-// dependencyTick reads the ends of dependencies that this controller needs, and
-// cancels jobs with a cancelled dependency. Both follow from the store, so a
-// successor continues where this controller stops.
+// dependencyTick reads the end records of dependencies and cancels jobs with a
+// cancelled dependency. Both are derived from the store, so a successor
+// continues where this controller stops.
 func (n *Node) dependencyTick(ctx context.Context) time.Duration {
 	unknownEnds, cancelled := n.pendingDependencyWork()
 	var wg sync.WaitGroup
@@ -208,8 +213,8 @@
 	return 0
 }
 
-// pendingDependencyWork lists the dependencies whose ends this controller has to read,
-// and the jobs that it has to cancel.
+// pendingDependencyWork lists the dependencies whose end records this
+// controller has to read, and the jobs that it has to cancel.
 func (n *Node) pendingDependencyWork() (unknownEnds []string, cancelled []*clusterstate.JobRecord) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -224,7 +229,9 @@
 		if !jr.Dependencies.Cancelled {
 			continue
 		}
-		// The holder cancels; the others do when it seems to be down.
+		// The shard's holder cancels the job. If the job is still live after the
+		// duration of a holder lease, the holder seems to be down, and every
+		// controller does.
 		holds := n.shards[jr.Record.Shard] != nil
 		if holds || now.Sub(jr.Dependencies.CancelledSince) > n.operator.HolderLease {
 			cancelled = append(cancelled, jr)
@@ -233,8 +240,8 @@
 	return unknownEnds, cancelled
 }
 
-// loadEndedJob makes the end of a job that is no longer live known. A job that has
-// none yet is reported as ErrUnavailable.
+// loadEndedJob reads the end record of a job that is no longer live into the
+// cache. It fails with ErrUnavailable if the job has none yet.
 func (n *Node) loadEndedJob(ctx context.Context, id string) error {
 	stored, err := n.lookupJob(ctx, id)
 	if err == nil && stored.end == nil {
--- a/internal/coordination/dependencies_test.go
+++ b/internal/coordination/dependencies_test.go
@@ -17,7 +17,7 @@
 	"reedtrack/internal/storage"
 )
 
-// applyLiveJob makes a job's record known to a controller.
+// applyLiveJob adds a live job's record to a controller's copy of the records.
 func applyLiveJob(n *Node, revision uint64, j protocol.Job) {
 	j.Team, j.Type = "red", "array"
 	if j.Tasks == 0 {
@@ -27,9 +27,9 @@
 	n.apply(storage.JobKey(j.ID), raw, revision)
 }
 
-// A job is blocked until every dependency has a stored end and is done: a
-// record that is merely missing may have ended either way, and no heartbeat
-// counts.
+// A job stays blocked until every dependency has a stored end record that says
+// it completed. A missing record is not enough, since the job may have been
+// cancelled, and neither is a heartbeat.
 func TestBlockedUntilStoredEnds(t *testing.T) {
 	w := newWorld(1, nil)
 	n := New(w.settings, w.settings.Defaults(), nil, nil, nil, nil)
@@ -43,31 +43,31 @@
 	queued := func() bool {
 		return slices.Contains(s.orderQueue(n.newPlanInput(time.Now()), time.Now()), j)
 	}
-	s.jobs["wk-1"].markDone(0) // as reported
+	s.jobs["wk-1"].markDone(0) // as a heartbeat reports it
 	n.resolveDependencies()
 	if !j.blocked || queued() || !n.records.Jobs["wk-3"].IsBlocked() {
-		t.Fatal("not blocked by a job that is only reported done")
+		t.Fatal("unblocked by a completion that only a heartbeat reported")
 	}
 	n.apply(storage.JobKey("wk-1"), nil, 8)
 	n.apply(storage.JobKey("wk-2"), nil, 9)
 	if !j.blocked || !n.ends.unknown["wk-1"] || !n.ends.unknown["wk-2"] {
-		t.Fatal("unblocked by records that are missing")
+		t.Fatal("unblocked by missing records")
 	}
 	endedMS := time.Now().Add(-time.Minute).UnixMilli()
 	n.ends.add("wk-1", storage.EndedJob{Status: protocol.Done, EndedAtMS: endedMS})
 	n.resolveDependencies()
 	if !j.blocked {
-		t.Fatal("unblocked by one end of two")
+		t.Fatal("unblocked though only one of two dependencies has ended")
 	}
-	n.ends.add("wk-2", storage.EndedJob{Status: protocol.Done}) // by the previous version
+	n.ends.add("wk-2", storage.EndedJob{Status: protocol.Done}) // as the previous version writes it
 	n.resolveDependencies()
 	if j.blocked || !queued() || j.submittedMS != n.records.Jobs["wk-3"].Record.AcceptedAtMS {
-		t.Errorf("blocked %v, counts from %d", j.blocked, j.submittedMS)
+		t.Errorf("blocked %v, submission time %d", j.blocked, j.submittedMS)
 	}
 }
 
-// The urgency and the deadline of a job come from its dependents, are derived
-// again when one is added, and go when it is cancelled.
+// A job inherits urgency and deadline from its dependents. Both are derived
+// again when a dependent is added, and when one is cancelled.
 func TestUrgencyAndDeadlineAreInherited(t *testing.T) {
 	w := newWorld(1, nil)
 	n := New(w.settings, w.settings.Defaults(), nil, nil, nil, nil)
@@ -88,9 +88,9 @@
 	}
 }
 
-// Chains, fans and diamonds behind a cancelled job are cancelled with it, those
-// submitted meanwhile too, and before a question can tell otherwise; dependents
-// of another job go on.
+// Cancelling a job cancels its direct and transitive dependents: chains, fans
+// and diamonds, including jobs submitted at the same time or later. A status
+// request never shows otherwise. Dependents of another job continue.
 func TestDependentsAreCancelledToo(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(1, nil)
@@ -133,7 +133,7 @@
 			}
 		}
 		var fan []string
-		for i := range 12 { // wider than a transaction
+		for i := range 12 { // more than one transaction holds
 			fan = append(fan, fmt.Sprintf("wk-10%d", i))
 			submit(fan[i], `["wk-4"]`)
 		}
@@ -141,10 +141,10 @@
 		w.spawn(func() { submit("wk-7", `["wk-1"]`) })
 		time.Sleep(20 * time.Second)
 		if code := submit("wk-8", `["wk-1"]`); code != http.StatusCreated {
-			t.Errorf("after a cancelled one: %d", code)
+			t.Errorf("submission with a cancelled dependency: %d", code)
 		}
 		if got := status("wk-8"); got != protocol.Cancelled {
-			t.Errorf("a poll says %s", got)
+			t.Errorf("status request: %s", got)
 		}
 		for _, id := range append(fan, "wk-1", "wk-2", "wk-3", "wk-4", "wk-7") {
 			if got := status(id); got != protocol.Cancelled {
@@ -152,15 +152,16 @@
 			}
 		}
 		if status("wk-6") == protocol.Cancelled {
-			t.Error("another chain was cancelled")
+			t.Error("a dependent of another job was cancelled")
 		}
 		stop()
 		w.wg.Wait()
 	})
 }
 
-// All completed tasks of 100,000, in any order, fit completion chunks of small
-// values, and are the same when read; the job's record stays as it was.
+// Of 100,000 tasks, those completed in any order fit into completion chunks of
+// small values, and decode to the same set. The job's own record stays
+// unchanged.
 func TestCompletionChunksKeepAll(t *testing.T) {
 	w := newWorld(1, nil)
 	n := New(w.settings, w.settings.Defaults(), nil, nil, nil, nil)
@@ -187,6 +188,6 @@
 	}
 	got, err := n.records.DoneTasks(n.records.Jobs["wk-1"])
 	if err != nil || got.String() != j.done.String() || n.records.Jobs["wk-1"].Revision != 5 {
-		t.Errorf("read anew: %d of %d, %v", got.Len(), j.done.Len(), err)
+		t.Errorf("decoded %d of %d tasks, %v", got.Len(), j.done.Len(), err)
 	}
 }
--- a/internal/coordination/dependency_requests.go
+++ b/internal/coordination/dependency_requests.go
@@ -9,13 +9,14 @@
 	"reedtrack/internal/protocol"
 )
 
-// maxEvaluationRounds is how often the dependencies of one job are evaluated for an
-// answer, with reads of unknown ends in between: an end that was read may have
-// been dropped from the cache, and dependencies go on changing meanwhile.
+// maxEvaluationRounds bounds how often one request evaluates a job's
+// dependencies, reading unknown end records in between. One round may not
+// suffice: an end record may have been evicted from the cache since it was
+// read, and dependencies keep changing.
 const maxEvaluationRounds = 3
 
-// hasCancelledDependency reports, for an answer, whether a dependency of a live
-// job, direct or not, was cancelled. What the copy of the records does not tell
+// hasCancelledDependency reports whether a direct or transitive dependency of
+// a live job was cancelled. What the local copy of the records does not show
 // is read from the store.
 func (n *Node) hasCancelledDependency(ctx context.Context, live *clusterstate.JobRecord) (bool, error) {
 	for range maxEvaluationRounds {
@@ -24,7 +25,7 @@
 			return cancelled, err
 		}
 		for id := range unknown {
-			// ErrUnavailable says that there is no end yet: look again.
+			// ErrUnavailable: there is no end record yet, so evaluate again.
 			if err := n.loadEndedJob(ctx, id); err != nil && !errors.Is(err, ErrUnavailable) {
 				return false, ErrUnavailable
 			}
@@ -33,10 +34,10 @@
 	return false, ErrUnavailable
 }
 
-// evaluateCancellation reports whether a dependency of a live job, direct or not,
-// is known to be cancelled, and which dependencies it can't tell of. It fails
-// with ErrUnavailable if this controller doesn't hold its lease: its copy of the
-// records may be old.
+// evaluateCancellation reports whether a direct or transitive dependency of a
+// live job is known to be cancelled, and returns the dependencies whose state
+// is unknown. It fails with ErrUnavailable if this controller doesn't hold its
+// lease, since its copy of the records may be stale.
 func (n *Node) evaluateCancellation(live *clusterstate.JobRecord) (cancelled bool, unknown map[string]bool, err error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -48,8 +49,8 @@
 	return cancelled, unknown, nil
 }
 
-// anyCancelled looks for a cancelled job among the given ones and their
-// dependencies; it adds those whose state is not known to unknown.
+// anyCancelled reports whether any of the given jobs or their dependencies is
+// cancelled. It adds those whose state is not known to unknown.
 func (n *Node) anyCancelled(ids []string, unknown, seen map[string]bool) bool {
 	for _, id := range ids {
 		if seen[id] {
@@ -71,10 +72,10 @@
 	return false
 }
 
-// checkDependencies returns why a job can't depend on those that it names: an
-// *InvalidJobError, or ErrUnavailable if that can't be decided now. Since an
-// accepted job stays accepted, what was read once needs no precondition in the
-// transaction that accepts the new job.
+// checkDependencies checks that a job may depend on those that it names. It
+// returns an *InvalidJobError if not, or ErrUnavailable if that can't be
+// decided now. An accepted job stays accepted, so the transaction that accepts
+// the new job needs no precondition on its dependencies.
 func (n *Node) checkDependencies(ctx context.Context, j *protocol.Job) error {
 	if len(j.DependsOn) == 0 {
 		return nil
@@ -99,8 +100,8 @@
 	return nil
 }
 
-// checkDependency returns why no job can depend on the given one: it was never
-// accepted, or it is a service.
+// checkDependency returns an error if no job can depend on the given one,
+// because it was never accepted or is a service.
 func (n *Node) checkDependency(ctx context.Context, id string) error {
 	dependency, err := n.lookupDependency(ctx, id)
 	switch {
@@ -114,8 +115,8 @@
 	return nil
 }
 
-// lookupDependency is lookupJob for a question that an old copy of the records
-// answers as well: whether a job was accepted, and as what.
+// lookupDependency is lookupJob for questions that a stale copy of the records
+// answers as well: whether a job was accepted, and whether it is a service.
 func (n *Node) lookupDependency(ctx context.Context, id string) (storedJob, error) {
 	n.mu.Lock()
 	end, ended := n.ends.get(id)
@@ -130,20 +131,20 @@
 	return n.lookupJob(ctx, id)
 }
 
-// isService reports whether the job is a service. Ends written by former versions
-// don't tell.
+// isService reports whether the job is a service. End records written by
+// former versions don't tell.
 func (s storedJob) isService() bool {
 	return s.end != nil && s.end.IsService || s.live != nil && s.live.Record.Spec.IsService()
 }
 
-// invalidDependencies refuses a job because of its dependencies.
+// invalidDependencies returns the error that rejects a job for its
+// dependencies.
 func invalidDependencies(format string, args ...any) error {
 	return &InvalidJobError{protocol.FieldDependsOn, fmt.Sprintf(format, args...)}
 }
 
-// Dependencies lists a live job's dependencies and their statuses; a job that has
-// ended depends on nothing any more. It fails with ErrJobNotFound or
-// ErrUnavailable.
+// Dependencies returns a live job's dependencies and their statuses; a job
+// that has ended has none. It fails with ErrJobNotFound or ErrUnavailable.
 func (n *Node) Dependencies(ctx context.Context, id string) (protocol.JobDependencies, error) {
 	dependencies := protocol.JobDependencies{ID: id, DependsOn: []protocol.JobStatus{}}
 	stored, err := n.lookupJob(ctx, id)
@@ -158,7 +159,7 @@
 	for _, dependency := range stored.live.Record.Spec.DependsOn {
 		status, err := n.JobStatus(ctx, dependency)
 		if err != nil {
-			return dependencies, ErrUnavailable // accepted once, so it is not unknown
+			return dependencies, ErrUnavailable // a dependency was accepted, so it can't be unknown
 		}
 		dependencies.DependsOn = append(dependencies.DependsOn, status)
 	}
--- a/internal/coordination/direct_dispatch.go
+++ b/internal/coordination/direct_dispatch.go
@@ -12,25 +12,25 @@
 	"reedtrack/internal/protocol"
 )
 
-// DirectSender sends commands directly to a worker, without waiting for its next
-// heartbeat.
+// DirectSender sends commands directly to a worker, without waiting for its
+// next heartbeat.
 type DirectSender func(ctx context.Context, address string, d protocol.DirectCommands) DirectAnswer
 
-// DirectAnswer is the outcome of a direct message.
+// DirectAnswer is the result of a direct message.
 type DirectAnswer struct {
 	Outcome DirectOutcome
 	Report  *protocol.Heartbeat // the worker's state after the commands, if it answered
 }
 
-// DirectOutcome is what is known of a direct message.
+// DirectOutcome says whether a direct message was carried out.
 type DirectOutcome uint8
 
 const (
-	// DirectUnanswered says nothing: the message may have been carried out, or may
-	// still be. It is the zero value, so an outcome that nobody set claims
-	// nothing.
+	// DirectUnanswered leaves it open: the message may have been carried out,
+	// or may still be. It is the zero value, so an outcome that was not set
+	// claims nothing.
 	DirectUnanswered DirectOutcome = iota
-	DirectUnsent                   // it never left: no connection was made
+	DirectUnsent                   // not sent: no connection was made
 	DirectDone                     // carried out
 	DirectRejected                 // not carried out: token or session did not match
 )
@@ -38,23 +38,23 @@
 // isAnswer reports whether the worker answered the message.
 func (o DirectOutcome) isAnswer() bool { return o == DirectDone || o == DirectRejected }
 
-// directState is what is known of direct messages to a machine.
+// directState tracks direct messages to a machine.
 type directState struct {
 	reportedAt time.Time // when its newest heartbeat was received
-	answered   bool      // an answer to a heartbeat is known to have reached its worker
-	notBefore  time.Time // no direct message before then
-	failures   int       // messages in a row that were not answered
+	answered   bool      // its worker is known to have received an answer to a heartbeat
+	notBefore  time.Time // backoff: no direct message before then
+	failures   int       // consecutive unanswered messages
 }
 
-// directTarget is a machine that has commands to be sent.
+// directTarget is a machine with commands to send.
 type directTarget struct {
 	shard   *shard
 	machine *machine
 }
 
-// sendDirectMessages sends to workers what should not wait for their next
-// heartbeats. The next answer carries it as well until the worker reports it,
-// so nothing depends on a direct message.
+// sendDirectMessages sends workers the commands that should not wait for their
+// next heartbeats. The next answers carry the same commands until the workers
+// report them, so nothing depends on a direct message.
 func (n *Node) sendDirectMessages() {
 	for _, message := range n.buildDirectMessages() {
 		go n.deliver(message)
@@ -80,14 +80,14 @@
 	return messages
 }
 
-// directTargets lists the machines with commands that may be sent directly, and
-// what the limiter needs to know of each; Worker is the index of its machine.
+// directTargets lists the machines with commands that may be sent directly,
+// and describes each to the limiter; Target.Worker is an index into machines.
 func (n *Node) directTargets(now time.Time) (machines []directTarget, targets []dispatch.Target) {
 	for _, i := range n.sortedShardIndexes() {
 		s := n.shards[i]
 		for _, m := range s.sortedMachines() {
 			if n.records.DelegatedMachines[i][m.lease.Machine] {
-				continue // its heartbeats go to a proxy, or are about to: see acknowledgeable
+				continue // its heartbeats go to a proxy, or soon will: see acknowledgeable
 			}
 			target, ok := m.directTarget(now)
 			if !ok {
@@ -101,8 +101,8 @@
 	return machines, targets
 }
 
-// sortedShardIndexes lists the indexes of the shards that this controller
-// holds.
+// sortedShardIndexes returns the indexes of the shards that this controller
+// holds, in ascending order.
 func (n *Node) sortedShardIndexes() []int {
 	var indexes []int
 	for i := range n.shards {
@@ -112,45 +112,46 @@
 	return indexes
 }
 
-// directTarget describes the commands that wait for a machine; false if there
-// are none that may be sent directly.
+// directTarget describes the commands pending for a machine; false if none may
+// be sent directly.
 func (m *machine) directTarget(now time.Time) (dispatch.Target, bool) {
 	target := dispatch.Target{Rank: int(protocol.PriorityProd), SinceHeartbeat: now.Sub(m.direct.reportedAt)}
 	if !m.acceptsDirect(now) {
 		return target, false
 	}
-	for _, run := range m.attempts {
-		needsStop := run.stopRequested && run.start.IsKnown() && run.stopSentAt.IsZero()
-		if !needsStop && !m.needsStart(run) {
+	for _, attempt := range m.attempts {
+		needsStop := attempt.stopRequested && attempt.start.IsKnown() && attempt.stopSentAt.IsZero()
+		if !needsStop && !m.needsStart(attempt) {
 			continue
 		}
 		if needsStop {
 			target.Stops = true
 		}
 		target.Commands++
-		target.Rank = min(target.Rank, directRank(run.job))
+		target.Rank = min(target.Rank, directRank(attempt.job))
 	}
 	return target, target.Commands > 0
 }
 
-// acceptsDirect reports whether a direct message may be sent to the machine: it is
-// in use under this holder, its address is known, the last message is settled,
-// and the backoff after messages that failed is over. The worker must have got an
-// answer to a heartbeat: until then its lease runs from its start, and what is started
-// on it by a direct message, which renews no lease, may end with that.
+// acceptsDirect reports whether a direct message may be sent to the machine:
+// it is in use under this holder, its address is known, no earlier message is
+// in flight, and the backoff after failed messages is over. Its worker must
+// also have received an answer to a heartbeat. Until then the worker's lease
+// runs from its start, and since a direct message renews no lease, a task
+// started by one may end when that lease expires.
 func (m *machine) acceptsDirect(now time.Time) bool {
 	inUse := m.hasReported() && m.isReconciled() && !m.isExpired() && !m.releasing && !m.removed
 	return inUse && m.direct.answered && m.address != "" && !m.exchange.InFlight() && !now.Before(m.direct.notBefore)
 }
 
-// needsStart reports whether the start of an attempt on the machine waits to be
-// sent.
-func (m *machine) needsStart(run *taskAttempt) bool {
-	return !run.stopRequested && !run.job.ended && !m.cordoned && !run.start.IsSent()
+// needsStart reports whether the start of an attempt on the machine is still
+// to be sent.
+func (m *machine) needsStart(attempt *taskAttempt) bool {
+	return !attempt.stopRequested && !attempt.job.ended && !m.cordoned && !attempt.start.IsSent()
 }
 
-// directRank orders direct messages: urgent work and work within a guarantee
-// first.
+// directRank ranks direct messages: those for urgent jobs and for jobs within
+// a guarantee come first.
 func directRank(j *job) int {
 	rank := int(protocol.PriorityProd) - int(j.urgency)
 	if j.urgency >= protocol.PriorityHigh || j.withinGuarantee {
@@ -169,9 +170,9 @@
 	starts  []*taskAttempt
 }
 
-// buildMessage builds a direct message. It carries stops and starts and never a
-// clear: a late clear would have the worker forget an attempt whose start may
-// arrive once more.
+// buildMessage builds a direct message with stops and starts. It never
+// contains a clear: a late clear would make the worker forget an attempt whose
+// start may arrive again.
 func (t directTarget) buildMessage(now time.Time) directMessage {
 	s, m := t.shard, t.machine
 	message := directMessage{directTarget: t, address: m.address, tracker: m.exchange.BeginMessage()}
@@ -180,14 +181,14 @@
 		Session:      message.tracker.Session,
 		Commands:     s.stopCommands(m, now),
 	}
-	for key, run := range m.attempts {
-		if !m.needsStart(run) {
+	for key, attempt := range m.attempts {
+		if !m.needsStart(attempt) {
 			continue
 		}
-		message.tracker.AddStart(&run.start)
-		run.startSentAt, run.directToken = now, message.payload.FencingToken
-		message.starts = append(message.starts, run)
-		start := protocol.Command{Verb: protocol.VerbStart, Task: protocol.FormatTaskName(key.job, key.task), Attempt: run.number}
+		message.tracker.AddStart(&attempt.start)
+		attempt.startSentAt, attempt.directToken = now, message.payload.FencingToken
+		message.starts = append(message.starts, attempt)
+		start := protocol.Command{Verb: protocol.VerbStart, Task: protocol.FormatTaskName(key.job, key.task), Attempt: attempt.number}
 		message.payload.Commands = append(message.payload.Commands, start)
 	}
 	return message
@@ -201,7 +202,7 @@
 	n.limiter.RecordResult(answer.Outcome.isAnswer())
 	s, m := message.shard, message.machine
 	if n.shards[s.index] != s || s.machines[m.lease.Machine] != m {
-		return // another holder has it by now, with a higher token
+		return // granted to another holder since, with a higher token
 	}
 	s.finishDirect(&message, answer, n.now())
 	if !answer.Outcome.isAnswer() {
@@ -219,20 +220,20 @@
 	}
 }
 
-// hasUnsentStart reports whether some attempt on the machine has not been sent
-// to it, whatever the reason.
+// hasUnsentStart reports whether the start of any attempt on the machine has
+// not been sent, for whatever reason.
 func (m *machine) hasUnsentStart() bool {
-	for _, run := range m.attempts {
-		if !run.start.IsSent() {
+	for _, attempt := range m.attempts {
+		if !attempt.start.IsSent() {
 			return true
 		}
 	}
 	return false
 }
 
-// finishDirect records what became of a message's starts. Those of a message that
-// was not answered stay unconfirmed, and so does the message: they may arrive at
-// any later moment.
+// finishDirect records the outcome of a message's starts. The starts of an
+// unanswered message stay unconfirmed, and so does the message: they may still
+// arrive at any time.
 func (s *shard) finishDirect(message *directMessage, answer DirectAnswer, now time.Time) {
 	m := message.machine
 	listed := map[taskKey]uint64{}
@@ -242,13 +243,13 @@
 		}
 	}
 	settled := answer.Outcome != DirectUnanswered
-	for _, run := range message.starts {
+	for _, attempt := range message.starts {
 		switch {
 		case answer.Outcome == DirectUnanswered:
-		case answer.Outcome == DirectDone && listed[run.key] != run.number:
+		case answer.Outcome == DirectDone && listed[attempt.key] != attempt.number:
 			settled = false // answered without listing the attempt
 		default:
-			message.tracker.SettleStart(&run.start)
+			message.tracker.SettleStart(&attempt.start)
 		}
 	}
 	m.exchange.EndMessage(message.tracker, settled)
@@ -258,8 +259,8 @@
 }
 
 // receiveDirectReport applies the report in a worker's answer to a direct
-// message. It tells what is on the machine; what it does not list may be on its
-// way in the answer to a heartbeat.
+// message. Tasks that it lists are on the machine; a task that it does not
+// list may still be on its way in the answer to a heartbeat.
 func (s *shard) receiveDirectReport(m *machine, report *protocol.Heartbeat, now time.Time) {
 	if m.isExpired() || !m.exchange.RecordDirectStatus(report.Session, report.Sequence) {
 		return
@@ -268,9 +269,9 @@
 	m.recordReclaimNotice(report.InterruptionSeconds, now)
 	listed := s.reconcileTasks(m, report, now, func(taskKey, protocol.TaskStatus) bool { return false })
 	if s.guards&dispatch.WithoutResponseOrder != 0 {
-		for key, run := range m.attempts {
-			if run.start.IsSent() && !listed[key] {
-				s.dropAttempt(run)
+		for key, attempt := range m.attempts {
+			if attempt.start.IsSent() && !listed[key] {
+				s.dropAttempt(attempt)
 			}
 		}
 	}
--- a/internal/coordination/direct_dispatch_test.go
+++ b/internal/coordination/direct_dispatch_test.go
@@ -9,8 +9,9 @@
 	"reedtrack/internal/protocol"
 )
 
-// Guards against direct starts on a machine whose worker has got no answer yet: its lease
-// runs from its start, and a direct message does not renew it.
+// Guards against direct starts on a machine whose worker has received no
+// answer to a heartbeat yet: its lease runs from its start, and a direct
+// message does not renew it.
 func TestNoDirectStartBeforeFirstAnswer(t *testing.T) {
 	_, s, input, _ := detectionShard(1)
 	now := time.Now()
@@ -27,10 +28,11 @@
 	}
 }
 
-// Guards against tasks that end seconds after their direct start, since the machine was up
-// for almost a lease before anybody answered it, and that answer was lost.
+// Guards against tasks that end seconds after their direct start. This happens
+// if the machine was up for almost a whole lease before its first heartbeat
+// was answered, and that answer was lost.
 func TestLateFirstAnswerCostsNoTask(t *testing.T) {
-	const unheard = 15 * time.Second // of a lease of 20 s
+	const silence = 15 * time.Second // of a lease of 20 s
 	for seed := range uint64(8) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -47,7 +49,7 @@
 						Cores: 1, MemoryGB: 2, Image: "i", EstimatedSeconds: 300, Spot: true}
 				}
 				w.spawn((&user{w: w, job: job("wk-000001"), submitAfter: 3 * time.Second}).run)
-				w.silenceFirstMachine(unheard)
+				w.silenceFirstMachine(silence)
 				w.spawn((&user{w: w, job: job("wk-000002")}).run)
 				time.Sleep(time.Minute)
 				w.mu.Lock()
@@ -60,8 +62,9 @@
 	}
 }
 
-// silenceFirstMachine has no controller hear the first machine that comes up for a time,
-// loses the first answer that it gets after that, and returns as that is lost.
+// silenceFirstMachine blocks all messages of the first machine that comes up
+// for the given time and loses the first answer to it after that. It returns
+// once that answer is lost.
 func (w *world) silenceFirstMachine(duration time.Duration) {
 	const step = 20 * time.Millisecond
 	silenced := ""
--- a/internal/coordination/end_cache.go
+++ b/internal/coordination/end_cache.go
@@ -2,16 +2,16 @@
 
 import "reedtrack/internal/storage"
 
-// maxCachedEnds bounds the ends that a controller keeps in memory; what is dropped
-// is read again when somebody asks for it.
+// maxCachedEnds limits the end records that a controller keeps in memory;
+// evicted ones are read from the store again on demand.
 const maxCachedEnds = 20000
 
-// endedJobCache holds how jobs ended, as far as the store has confirmed it to this
-// controller. Ends are final, so an entry never changes.
+// endedJobCache caches the end records of jobs that the store has confirmed to
+// this controller. End records are final, so an entry never changes.
 type endedJobCache struct {
 	known   map[string]storage.EndedJob
 	order   []string        // the keys of known, oldest first
-	unknown map[string]bool // dependencies that are no longer live and whose ends have to be read
+	unknown map[string]bool // dependencies that are no longer live and whose end records have to be read
 }
 
 func newEndedJobCache() endedJobCache {
@@ -23,8 +23,8 @@
 	return end, ok
 }
 
-// add caches an end that the store has confirmed, and drops the oldest one if there
-// are too many.
+// add caches an end record that the store has confirmed, and evicts the oldest
+// one if the cache is full.
 func (c *endedJobCache) add(id string, end storage.EndedJob) {
 	if _, ok := c.known[id]; !ok {
 		c.order = append(c.order, id)
--- a/internal/coordination/grant_builder.go
+++ b/internal/coordination/grant_builder.go
@@ -12,12 +12,12 @@
 	"reedtrack/internal/storage"
 )
 
-// grantBuilder collects the changes of one grant transaction, and keeps it
-// within the store's limits: number of operations, bytes of a value and bytes
-// of the whole. What does not fit is left to the next transaction, or goes to
-// another shard; a write that could never succeed is not made.
+// grantBuilder collects the changes of one grant transaction and keeps it
+// within the store's limits on operations, value size and total size. What
+// does not fit is left to the next transaction or goes to another shard; a
+// write that could never succeed is not made.
 type grantBuilder struct {
-	node        *Node // read only, but for the stored sizes of chunks
+	node        *Node // read only, except for the cached sizes of chunks
 	limits      config.Limits
 	grants      map[int]storage.Grant                // changed heads, by shard
 	chunks      map[grantRecordID]storage.GrantChunk // changed chunks
@@ -25,7 +25,7 @@
 	totalBytes  int                                  // upper bound for the whole transaction
 }
 
-// headChunk stands for the head of a grant in place of a chunk's number.
+// headChunk is the chunk number that denotes the head of a grant.
 const headChunk = -1
 
 // grantRecordID identifies the head of a shard's grant, or one of its chunks.
@@ -46,13 +46,13 @@
 }
 
 const (
-	// tokenOps is how many operations the fencing token takes.
+	// tokenOps is the number of operations that the fencing token takes.
 	tokenOps = 1
 	// recordOverhead is how many bytes the keys, up to three preconditions and
-	// the fencing token add per changed record.
+	// the fencing token add for each changed record.
 	recordOverhead = 512
-	// shareOverhead bounds the bytes that one changed share adds, its team's
-	// name apart.
+	// shareOverhead bounds the bytes that one changed share adds besides its
+	// team's name.
 	shareOverhead = 64
 	// chunkOverhead bounds the bytes of a chunk without machine leases.
 	chunkOverhead = 128
@@ -89,8 +89,9 @@
 	return len(raw)
 }
 
-// chunkSize returns an upper bound of an unchanged chunk's size. It is stored
-// with the chunk: encoding all chunks for each grant would be slow.
+// chunkSize returns an upper bound of an unchanged chunk's size. The size is
+// cached with the chunk, since encoding all chunks for each grant would be
+// slow.
 func (b *grantBuilder) chunkSize(record grantRecordID) int {
 	chunk := b.currentChunk(record)
 	if chunk == nil {
@@ -108,7 +109,8 @@
 	return len(raw)
 }
 
-// currentChunk returns a stored chunk that belongs to the present head, or nil.
+// currentChunk returns a stored chunk of the present head's generation, or
+// nil.
 func (b *grantBuilder) currentChunk(record grantRecordID) *clusterstate.GrantChunkRecord {
 	chunk := b.node.records.GrantChunks[record.shard][record.chunk]
 	if chunk == nil || chunk.Value.Generation != b.node.records.Grants[record.shard].Value.Generation {
@@ -127,12 +129,12 @@
 	return ok
 }
 
-// canGrow reports whether a record may grow by so many bytes.
-func (b *grantBuilder) canGrow(record grantRecordID, more int) bool {
-	if b.recordSize(record)+more > b.limits.MaxValueBytes() {
+// canGrow reports whether a record may grow by this many bytes.
+func (b *grantBuilder) canGrow(record grantRecordID, extraBytes int) bool {
+	if b.recordSize(record)+extraBytes > b.limits.MaxValueBytes() {
 		return false
 	}
-	totalBytes := b.totalBytes + more
+	totalBytes := b.totalBytes + extraBytes
 	if !b.contains(record) {
 		if b.changeCount()+1+tokenOps > b.limits.TxnOps {
 			return false
@@ -142,19 +144,19 @@
 	return totalBytes <= protocol.MaxBodyBytes
 }
 
-// reserve counts what a record grows by.
-func (b *grantBuilder) reserve(record grantRecordID, more int) {
-	b.totalBytes += more
+// reserve accounts for the growth of a record.
+func (b *grantBuilder) reserve(record grantRecordID, extraBytes int) {
+	b.totalBytes += extraBytes
 	if !b.contains(record) {
 		b.totalBytes += b.recordSize(record) + recordOverhead
 	}
-	b.recordBytes[record] = b.recordSize(record) + more
+	b.recordBytes[record] = b.recordSize(record) + extraBytes
 }
 
-// editHead returns a copy of a shard's grant for changes that add so many
-// bytes; the caller puts it into b.grants.
-func (b *grantBuilder) editHead(shard, more int) storage.Grant {
-	b.reserve(headRecord(shard), more)
+// editHead returns a copy of a shard's grant for changes that add this many
+// bytes; the caller stores it in b.grants.
+func (b *grantBuilder) editHead(shard, extraBytes int) storage.Grant {
+	b.reserve(headRecord(shard), extraBytes)
 	grant, ok := b.grants[shard]
 	if !ok {
 		current := b.node.records.Grants[shard].Value
@@ -170,10 +172,10 @@
 	return grant
 }
 
-// editChunk returns a copy of a chunk for changes that add so many bytes; the
-// caller puts it into b.chunks.
-func (b *grantBuilder) editChunk(record grantRecordID, more int) storage.GrantChunk {
-	b.reserve(record, more)
+// editChunk returns a copy of a chunk for changes that add this many bytes;
+// the caller stores it in b.chunks.
+func (b *grantBuilder) editChunk(record grantRecordID, extraBytes int) storage.GrantChunk {
+	b.reserve(record, extraBytes)
 	chunk, ok := b.chunks[record]
 	if !ok {
 		chunk.Generation = b.node.records.Grants[record.shard].Value.Generation
@@ -184,35 +186,34 @@
 	return chunk
 }
 
-// leaseBytes bounds what a machine lease adds to a record.
+// leaseBytes bounds the bytes that a machine lease adds to a record.
 func leaseBytes(lease storage.MachineLease) int {
 	return storage.MaxMachineLeaseBytes(lease.Machine) + len(lease.MachineType) + len(lease.Zone) + shareOverhead
 }
 
-// canChangeGrant reports whether a shard's grant may be changed: not while it
-// waits to be split into chunks.
+// canChangeGrant reports whether a shard's grant may be changed; it may not
+// while it waits to be split into chunks.
 func (n *Node) canChangeGrant(shard int) bool {
 	return !n.records.SplitGrantsEnabled() || n.records.Grants[shard].Value.Generation != 0
 }
 
-// recordWithSpace returns a record of the shard that has room for one more
+// recordWithSpace returns a record of the shard with space for one more
 // machine; false if there is none.
-func (b *grantBuilder) recordWithSpace(shard, more int) (grantRecordID, bool) {
+func (b *grantBuilder) recordWithSpace(shard, extraBytes int) (grantRecordID, bool) {
 	if !b.node.canChangeGrant(shard) {
 		return grantRecordID{}, false
 	}
 	current := b.node.records.Grants[shard].Value
 	if current.Generation == 0 {
-		return headRecord(shard), b.canGrow(headRecord(shard), more)
+		return headRecord(shard), b.canGrow(headRecord(shard), extraBytes)
 	}
 	if len(current.Machines) >= b.node.maxMachinesPerShard() {
 		return grantRecordID{}, false
 	}
-	// Records that are changed already come first: they cost no further
-	// operation.
+	// Prefer records that are changed already: they take no further operation.
 	for _, changed := range []bool{true, false} {
 		for k := range len(b.node.records.GrantChunks[shard]) + b.changeCount() + 1 {
-			if record := (grantRecordID{shard, k}); b.contains(record) == changed && b.canGrow(record, more) {
+			if record := (grantRecordID{shard, k}); b.contains(record) == changed && b.canGrow(record, extraBytes) {
 				return record, true
 			}
 		}
@@ -220,7 +221,7 @@
 	return grantRecordID{}, false
 }
 
-// acceptsMachine reports whether a shard can be granted one more machine.
+// acceptsMachine reports whether one more machine can be granted to a shard.
 func (b *grantBuilder) acceptsMachine(shard int, machine *cloudMachine) bool {
 	lease := storage.MachineLease{Machine: machine.id, MachineType: machine.kind.MachineType, Zone: machine.kind.Zone}
 	_, ok := b.recordWithSpace(shard, leaseBytes(lease))
@@ -229,38 +230,38 @@
 
 // addMachine grants a machine to a shard that accepts it.
 func (b *grantBuilder) addMachine(shard int, lease storage.MachineLease) {
-	more := leaseBytes(lease)
-	record, ok := b.recordWithSpace(shard, more)
+	extraBytes := leaseBytes(lease)
+	record, ok := b.recordWithSpace(shard, extraBytes)
 	if !ok {
 		return
 	}
 	if record.isHead() {
-		grant := b.editHead(shard, more)
+		grant := b.editHead(shard, extraBytes)
 		grant.Machines = append(grant.Machines, lease)
 		b.grants[shard] = grant
 		return
 	}
-	chunk := b.editChunk(record, more)
+	chunk := b.editChunk(record, extraBytes)
 	chunk.Machines = append(chunk.Machines, lease)
 	b.chunks[record] = chunk
 }
 
 // setShare sets a shard's share of a team's quota; false if that does not fit.
 func (b *grantBuilder) setShare(shard int, team string, share storage.Resources) bool {
-	more := len(team) + shareOverhead
-	if !b.node.canChangeGrant(shard) || !b.canGrow(headRecord(shard), more) {
+	extraBytes := len(team) + shareOverhead
+	if !b.node.canChangeGrant(shard) || !b.canGrow(headRecord(shard), extraBytes) {
 		return false
 	}
-	grant := b.editHead(shard, more)
+	grant := b.editHead(shard, extraBytes)
 	grant.Quotas[team] = share
 	b.grants[shard] = grant
 	return true
 }
 
-// appendTo appends the changes to a transaction, each conditional on its
-// record's revision and on that of the shard's lease. So a grant fails that was
-// planned before the holder returned something, or before the shard went to
-// another holder.
+// appendTo appends the changes to a transaction, each conditional on the
+// revisions of its record and of the shard's lease. A grant therefore fails
+// if, since it was planned, the holder has returned something or the shard has
+// gone to another holder.
 func (b *grantBuilder) appendTo(txn *protocol.Txn) {
 	shards := map[int]bool{}
 	for _, i := range slices.Sorted(maps.Keys(b.grants)) {
@@ -278,7 +279,8 @@
 	}
 }
 
-// chunkPrecondition requires that a grant chunk is as the copy here shows it.
+// chunkPrecondition requires that a grant chunk is unchanged from the local
+// copy.
 func (n *Node) chunkPrecondition(i, k int) protocol.Precondition {
 	precondition := protocol.Precondition{Key: storage.GrantChunkKey(i, k)}
 	if chunk := n.records.GrantChunks[i][k]; chunk != nil {
--- a/internal/coordination/grant_changes.go
+++ b/internal/coordination/grant_changes.go
@@ -5,8 +5,8 @@
 	"strings"
 )
 
-// grantChanges lists what a grant changes: a shard's holder, a step of splitting
-// a grant into chunks, or machines and quota.
+// grantChanges describes what a grant changes: a shard's holder, a step of
+// splitting a grant into chunks, or machines and quota.
 type grantChanges struct {
 	shard     *grantedShard
 	splitStep string
@@ -27,8 +27,7 @@
 	shard int
 }
 
-// grantedQuota is an amount by which a shard's share of a team's quota is
-// raised.
+// grantedQuota is an increase of a shard's share of a team's quota.
 type grantedQuota struct {
 	team  string
 	cores float64
--- a/internal/coordination/grant_machines.go
+++ b/internal/coordination/grant_machines.go
@@ -7,16 +7,17 @@
 	"reedtrack/internal/storage"
 )
 
-// machineAssigner selects the shards that free machines are granted to.
+// machineAssigner selects the shards to which free machines are granted.
 type machineAssigner struct {
 	builder      *grantBuilder
 	statuses     []*ShardStatus // by shard; nil: none known
-	requestedFor map[string]int // shard that a booted machine was requested for, by machine
+	requestedFor map[string]int // shard for which a booted machine was requested, by machine
 	grantedCount map[int]int    // machines granted so far, by shard
 }
 
-// grantMachines grants machines that are up and belong to no shard to the one
-// they were requested for, or to one whose pending tasks need such a machine.
+// grantMachines grants machines that are up and belong to no shard to the
+// shard for which they were requested, or to one whose pending tasks need such
+// a machine.
 func (n *Node) grantMachines(builder *grantBuilder, statuses []*ShardStatus, token uint64, now time.Time) []grantedMachine {
 	assigner := machineAssigner{
 		builder:      builder,
@@ -49,8 +50,9 @@
 	return granted
 }
 
-// selectShard selects the shard to grant a machine to: the one that it was
-// requested for, otherwise the one that has been granted the fewest so far.
+// selectShard selects the shard to which a machine is granted: the one for
+// which it was requested, otherwise the one that has been granted the fewest
+// machines so far.
 func (a *machineAssigner) selectShard(machine *cloudMachine) (shard int, ok bool) {
 	if shard, ok := a.requestedFor[machine.id]; ok && (a.isSuitable(shard, machine) || a.requestsMachines(shard, machine)) {
 		return shard, true
@@ -71,9 +73,9 @@
 	return status != nil && slices.Contains(status.SuitableKinds, machine.kind) && a.builder.acceptsMachine(shard, machine)
 }
 
-// requestsMachines reports whether a shard still requests machines, of whatever
-// kind. Otherwise its tasks have found another place since, and a machine that
-// was requested for them may serve others.
+// requestsMachines reports whether a shard still requests machines of any
+// kind. If not, its tasks have been placed elsewhere since, and a machine
+// requested for them may serve other shards.
 func (a *machineAssigner) requestsMachines(shard int, machine *cloudMachine) bool {
 	status := a.statuses[shard]
 	return status != nil && len(status.ScaleOut) > 0 && a.builder.acceptsMachine(shard, machine)
--- a/internal/coordination/grant_quota.go
+++ b/internal/coordination/grant_quota.go
@@ -8,16 +8,16 @@
 )
 
 const (
-	// minGrantedQuota is the least quota worth granting: less is a rounding
-	// error.
+	// minGrantedQuota is the smallest quota worth granting; anything less is a
+	// rounding error.
 	minGrantedQuota = 1e-6
-	// minShareDivisor is how many parts of a shard's even share of a team's limit
-	// there are: one of them is granted at least, if there is enough for all.
+	// minShareDivisor divides a shard's even share of a team's limit into the
+	// least quota that is granted, if there is enough for all.
 	minShareDivisor = 4
 )
 
-// grantQuota grants what no shard has of the teams' quotas to shards that ask
-// for it.
+// grantQuota grants the teams' quotas that no shard has yet to shards that
+// request them.
 func (n *Node) grantQuota(builder *grantBuilder, statuses []*ShardStatus) []grantedQuota {
 	var granted []grantedQuota
 	for _, team := range slices.Sorted(maps.Keys(n.teams)) {
@@ -26,7 +26,7 @@
 	return granted
 }
 
-// grantTeamQuota grants what no shard has of one team's quota.
+// grantTeamQuota grants the part of one team's quota that no shard has yet.
 func (n *Node) grantTeamQuota(builder *grantBuilder, statuses []*ShardStatus, team string) []grantedQuota {
 	limit := n.teams[team].limit
 	free := n.ungrantedQuota(team)
@@ -55,7 +55,7 @@
 	return granted
 }
 
-// ungrantedQuota returns what no shard has of a team's quota.
+// ungrantedQuota returns the part of a team's quota that no shard has.
 func (n *Node) ungrantedQuota(team string) storage.Resources {
 	free := n.teams[team].limit
 	for _, grant := range n.records.Grants {
@@ -64,7 +64,7 @@
 	return free
 }
 
-// totalDesired sums what the shards ask for of a team's quota.
+// totalDesired sums what the shards request of a team's quota.
 func totalDesired(statuses []*ShardStatus, team string) storage.Resources {
 	var desired storage.Resources
 	for _, status := range statuses {
@@ -76,8 +76,8 @@
 }
 
 // additionalShare returns how much of the free quota goes to a shard with a
-// shortage. If there is enough for all, a little more than that spares the next
-// grant.
+// shortage. If there is enough for all, it is at least a minimum, which saves
+// a further grant.
 func (n *Node) additionalShare(free, shortage, desired, limit float64) float64 {
 	if shortage <= 0 {
 		return 0
--- a/internal/coordination/grant_shards.go
+++ b/internal/coordination/grant_shards.go
@@ -9,16 +9,16 @@
 	"reedtrack/internal/storage"
 )
 
-// hasLiveHolder reports whether a shard is leased to a controller whose session
-// goes on, as far as the copy of the records shows.
+// hasLiveHolder reports whether a shard is leased to a controller whose
+// session is live, according to the local copy of the records.
 func (n *Node) hasLiveHolder(shard int) bool {
 	lease := n.records.Shards[shard]
 	holder, alive := n.records.Controllers[lease.Value.Holder.Name]
 	return lease.Revision != 0 && alive && holder.Value.Session == lease.Value.Holder.Session
 }
 
-// planShardLease returns the grant of a shard whose holder's session is over, or
-// that never had one; nil if no controller is live.
+// planShardLease plans the lease of a shard whose holder's session is over, or
+// that never had a holder; nil if no controller is live.
 func (n *Node) planShardLease(shard int) *grantPlan {
 	former := n.records.Shards[shard].Value.Holder.Name
 	newHolder, ok := n.selectHolder(former)
@@ -41,10 +41,10 @@
 }
 
 // shardLeasePreconditions requires that a shard's lease, and the keys of its
-// former and its new holder, are as the copy here shows them. That the former
-// holder's key is gone, or names another session, proves that its lease has
-// expired, so it has stopped acting. The new holder's key has to be there, or
-// nobody would serve the shard.
+// former and its new holder, are unchanged from the local copy. If the former
+// holder's key is gone or names another session, its lease has expired and it
+// has stopped acting. The new holder's key must exist, since otherwise nobody
+// would serve the shard.
 func (n *Node) shardLeasePreconditions(shard int, newHolder string) []protocol.Precondition {
 	lease := n.records.Shards[shard]
 	former := lease.Value.Holder.Name
@@ -58,14 +58,14 @@
 	return preconditions
 }
 
-// controllerPrecondition requires that a controller's key is as the copy here
-// shows it, or is not there.
+// controllerPrecondition requires that a controller's key is unchanged from
+// the local copy, or does not exist if the copy lacks it.
 func (n *Node) controllerPrecondition(name string) protocol.Precondition {
 	return protocol.Precondition{Key: storage.ControllerKey(name), Revision: n.records.Controllers[name].Revision}
 }
 
-// initialGrant returns the first grant of a shard: no machines, and no quota but
-// for the shard that is filled first, which starts with all of it.
+// initialGrant returns the first grant of a shard, with no machines and no
+// quota. Only shard 0, which is filled first, starts with all of the quota.
 func (n *Node) initialGrant(shard int) storage.Grant {
 	grant := storage.Grant{Quotas: map[string]storage.Resources{}}
 	for team, quota := range n.teams {
@@ -78,8 +78,8 @@
 }
 
 // selectHolder selects the holder of a shard: its former holder if that is
-// back, otherwise the live controller with the fewest machines and shards. It
-// returns false if no controller is live.
+// live again, otherwise the live controller with the fewest machines and
+// shards. It returns false if no controller is live.
 func (n *Node) selectHolder(former string) (storage.Controller, bool) {
 	if holder, ok := n.records.Controllers[former]; ok {
 		return holder.Value, true
--- a/internal/coordination/grants.go
+++ b/internal/coordination/grants.go
@@ -7,19 +7,21 @@
 	"reedtrack/internal/storage"
 )
 
-// grantPlan is a grant that the leader is to write, and what it changes.
+// grantPlan is a grant for the leader to write, and what it changes.
 type grantPlan struct {
 	txn     protocol.Txn
 	changes grantChanges
 }
 
-// planGrant returns the leader's next grant, or nil: the first that is due of
+// planGrant returns the leader's next grant, or nil if none is due. In order of
+// precedence, it is for
 //
 //  1. a shard whose holder's session is over, see planShardLease;
 //  2. a step of splitting a shard's grant into chunks, see nextSplitTxn;
 //  3. machines and quota, all that fits into one transaction.
 //
-// It changes no record and nothing of what boots: the caller does.
+// It changes neither the records nor the machines that are booting; the caller
+// does.
 func (n *Node) planGrant(own *Status, now time.Time) *grantPlan {
 	if n.records.MachineTypes == nil {
 		return nil
@@ -40,8 +42,8 @@
 	return n.planMachinesAndQuota(own, now)
 }
 
-// planMachinesAndQuota grants free machines and quota, as the holders' statuses
-// ask for them.
+// planMachinesAndQuota grants free machines and quota as requested in the
+// holders' statuses.
 func (n *Node) planMachinesAndQuota(own *Status, now time.Time) *grantPlan {
 	token := n.nextFencingToken()
 	builder := newGrantBuilder(n)
@@ -58,15 +60,15 @@
 	return &grantPlan{txn: txn, changes: changes}
 }
 
-// nextFencingToken returns the counter with the token of the next grant.
+// nextFencingToken returns the counter that holds the next grant's token.
 func (n *Node) nextFencingToken() storage.FencingTokenCounter {
 	return storage.FencingTokenCounter{Last: n.records.LastToken.Value.Last + 1}
 }
 
-// newGrantTxn returns the part that all grants have in common: each is
-// conditional on the leader's key and on the last fencing token, and mints a new
-// token. So grants are serialized, and one that arrives late fails: another
-// leader's key, or another grant's token, is there instead.
+// newGrantTxn returns the part that is common to all grants: each is
+// conditional on the leader's key and on the last fencing token, and issues a
+// new token. This serializes grants, and a grant that arrives late fails: the
+// leader's key or the last token has changed by then.
 func (n *Node) newGrantTxn(token storage.FencingTokenCounter) protocol.Txn {
 	return protocol.Txn{
 		Preconditions: []protocol.Precondition{
@@ -77,8 +79,8 @@
 	}
 }
 
-// shardStatuses returns the newest status of each shard by its present holder;
-// nil if there is none.
+// shardStatuses returns the newest status of each shard from its present
+// holder; nil where there is none.
 func (n *Node) shardStatuses(own *Status) []*ShardStatus {
 	statuses := make([]*ShardStatus, n.operator.Shards)
 	collect := func(status *Status) {
@@ -96,8 +98,8 @@
 	return statuses
 }
 
-// isByPresentHolder reports whether a status names the fencing token of the
-// shard's present lease, and so is none of a former holder.
+// isByPresentHolder reports whether a status carries the fencing token of the
+// shard's present lease, and so is not from a former holder.
 func (n *Node) isByPresentHolder(status *ShardStatus) bool {
 	return n.records.Shards[status.Index].Value.FencingToken == status.FencingToken
 }
--- a/internal/coordination/job.go
+++ b/internal/coordination/job.go
@@ -8,26 +8,26 @@
 	"reedtrack/internal/storage"
 )
 
-// job is an accepted job that has not ended, as its shard's holder sees it.
+// job is an accepted job that has not ended, as the holder of its shard sees it.
 //
-// It enters the shard with addJob and leaves it with endJob, once its record is
-// gone or shows another shard. In between its tasks may be placed while the job
-// is startable: none of five conditions keeps them back. These are independent
-// flags rather than one state, since each is set and cleared by an event of its
-// own, and several may hold at once:
+// addJob adds it to the shard, and endJob removes it once its record is gone or
+// names another shard. In between, its tasks may be placed while the job is
+// startable, that is, while none of five conditions holds. These are independent
+// flags rather than one state, because each is set and cleared by its own event,
+// and several may hold at once:
 //
 //	unconfirmed  set by addJob for a job older than this holder's lease, cleared
 //	             by updateReconciled
 //	blocked      set by newJob for a job with dependencies, cleared by
 //	             resolveDependencies
-//	migrating    set by migrateJobs, cleared when the write is refused for
-//	             certain or, by addJob, once the record has changed
+//	migrating    set by migrateJobs, cleared when the write has certainly
+//	             failed or, by addJob, once the record has changed
 //	leaving      set by updateLeaving, cleared by it when the job is to stay: its
 //	             attempts end, then it migrates
 //	ended        set by endJob, for good: what still runs is being stopped
 //
-// Besides, the planner leaves out a job that fails everywhere until retryAfter,
-// see recordTaskError.
+// In addition, the planner skips a job that fails on every machine until
+// retryAfter, see recordTaskError.
 //
 // A task of the job is done, has an attempt, or is pending. It becomes pending
 // again when its attempt is dropped before it completed.
@@ -44,52 +44,53 @@
 	// Tasks.
 	done               storage.IndexSet
 	attempts           map[int]*taskAttempt // by task
-	unfinishedAttempts int                  // how many of attempts are not in done
+	unfinishedAttempts int                  // number of attempts whose tasks are not in done
 	retry              []int                // pending tasks that had an attempt before
-	nextTask           int                  // tasks from here on had none, unless adopted
+	nextTask           int                  // tasks from this one on have had no attempt, unless adopted
 
 	// The record of completed tasks.
-	savedCount int // how many of done the record shows
+	savedCount int // number of tasks of done that the record contains
 	savedAt    time.Time
-	saving     bool // a write of the record has not been answered yet
+	saving     bool // a write of the record is in flight
 
 	// An unconfirmed job was accepted before this controller acquired the
-	// shard, so tasks of it may be running that no heartbeat has reported yet.
-	// None of its tasks starts until the shard is reconciled.
+	// shard, so some of its tasks may be running although no heartbeat has
+	// reported them yet. None of its tasks starts until the shard is
+	// reconciled.
 	unconfirmed bool
-	// A dependency of the job is not known to be completed: none of its tasks
-	// starts.
+	// Some dependency of the job is not known to have completed: none of its
+	// tasks starts.
 	blocked bool
 	// The job is being moved to another shard: none of its tasks is placed
 	// until its record has changed.
 	migrating bool
-	// The record is gone: what still runs has to be stopped.
+	// The record is gone: attempts that still run have to be stopped.
 	ended bool
 
 	migrationTarget      int  // shard; noMigrationTarget once the outcome of the write is known
-	unconfirmedMigration bool // a write that was not answered may still be applied
+	unconfirmedMigration bool // an unanswered write may still be applied
 
 	// Precedence.
-	withinGuarantee bool              // it fits within its team's guarantee, see updateWithinGuarantee
+	withinGuarantee bool              // the job fits within its team's guarantee, see updateWithinGuarantee
 	urgency         protocol.Priority // the highest of its own and of its dependents
 	deadlineMS      float64           // when it should be done, Unix milliseconds; infinite: no deadline
-	preemptions     map[int]int       // by task: how often it was preempted
+	preemptions     map[int]int       // number of preemptions, by task
 
 	// Errors of its tasks, see recordTaskError.
-	failedMachines map[string]bool // machines on which tasks failed since one completed
-	backoff        time.Duration   // between the last two attempts of a job that fails everywhere
+	failedMachines map[string]bool // machines on which tasks have failed since a task last completed
+	backoff        time.Duration   // between the last two attempts of a job that fails on every machine
 	retryAfter     time.Time
 
-	// Waiting beside room in another shard, see migration_to_room.go.
-	unplacedSince time.Time  // since when every plan has left a task of it without a machine; zero: the last did not
-	waitReason    waitReason // why, as of the last plan
-	leavingUntil  time.Time  // until when it is held back to leave the shard; zero: it is not
+	// Waiting while another shard has free capacity, see migration_to_room.go.
+	unplacedSince time.Time  // since when every plan has left one of its tasks unplaced; zero: the last plan did not
+	waitReason    waitReason // as of the last plan
+	leavingUntil  time.Time  // until when its tasks are held back so that it can leave the shard; zero: they are not
 
-	// How long its tasks take, to find slow machines.
+	// Run times of its tasks, to detect slow machines.
 	measuredTasks   int     // tasks that completed under this holder
-	measuredSeconds float64 // how long those ran in total
+	measuredSeconds float64 // total run time of these
 
-	// For the latency record.
+	// For latency recording.
 	receivedAt  time.Time // when this controller received its record
 	startableAt time.Time // when its tasks became startable; zero: when it was received
 	completedAt time.Time // when its last task was seen to complete
@@ -98,8 +99,8 @@
 // isComplete reports whether all tasks have completed.
 func (j *job) isComplete() bool { return j.done.Len() >= j.spec.Tasks }
 
-// isStartable reports whether nothing but a lack of capacity or quota keeps the
-// job's tasks from being placed.
+// isStartable reports whether only a lack of capacity or quota keeps the job's
+// tasks from being placed.
 func (j *job) isStartable() bool {
 	return !j.unconfirmed && !j.blocked && !j.migrating && !j.ended && !j.isLeaving()
 }
@@ -119,7 +120,7 @@
 	return !j.done.Contains(task) && j.attempts[task] == nil
 }
 
-// takePendingTask returns a task to place, or -1 if there is none.
+// takePendingTask returns a task to place, or -1 if none is pending.
 func (j *job) takePendingTask() int {
 	for len(j.retry) > 0 {
 		task := j.retry[len(j.retry)-1]
@@ -137,7 +138,8 @@
 	return -1
 }
 
-// addTaskResources adds what so many tasks of the job need to its team's amount.
+// addTaskResources adds the resources of this many tasks to the amount of the
+// job's team.
 func (j *job) addTaskResources(byTeam map[string]storage.Resources, tasks int) {
 	amount := byTeam[j.spec.Team]
 	amount.Cores += float64(tasks) * j.taskResources[placement.Cores]
@@ -145,12 +147,12 @@
 	byTeam[j.spec.Team] = amount
 }
 
-// addJob adds a job to the shard, or updates its record's revision.
+// addJob adds a job to the shard, or updates the revision of a job that it
+// has.
 func (s *shard) addJob(j *job) {
 	if known := s.jobs[j.id]; known != nil {
 		if j.revision > known.revision {
-			// Whatever was written under the former revision can't be applied
-			// any more.
+			// Writes under the former revision can no longer be applied.
 			known.revision = j.revision
 			known.migrating, known.unconfirmedMigration = false, false
 		}
@@ -163,8 +165,9 @@
 	s.jobs[j.id] = j
 }
 
-// endJob handles a job whose record is gone: what still runs is stopped at
-// once, also where a stop with a grace period was sent before.
+// endJob handles a job whose record is gone: attempts that still run are
+// stopped immediately, including those already told to stop with a grace
+// period.
 func (s *shard) endJob(id string) {
 	j := s.jobs[id]
 	if j == nil {
--- a/internal/coordination/job_status.go
+++ b/internal/coordination/job_status.go
@@ -13,8 +13,8 @@
 // ErrJobNotFound is returned for a job that was never accepted.
 var ErrJobNotFound = errors.New("no such job")
 
-// storedJob is what the store has of a job: its live record or its end. A job
-// with neither was never accepted.
+// storedJob is what the store holds of a job: its live record or its end
+// record. A job with neither was never accepted.
 type storedJob struct {
 	live *clusterstate.JobRecord
 	end  *storage.EndedJob
@@ -23,8 +23,8 @@
 // wasAccepted reports whether the job was ever accepted.
 func (s storedJob) wasAccepted() bool { return s.live != nil || s.end != nil }
 
-// JobStatus returns a job's status, no older than any answer given by another
-// controller. It fails with ErrJobNotFound or ErrUnavailable.
+// JobStatus returns a job's status, at least as recent as any answer given by
+// another controller. It fails with ErrJobNotFound or ErrUnavailable.
 func (n *Node) JobStatus(ctx context.Context, id string) (protocol.JobStatus, error) {
 	stored, err := n.lookupJob(ctx, id)
 	switch {
@@ -36,8 +36,8 @@
 		return protocol.JobStatus{}, ErrJobNotFound
 	}
 	if len(stored.live.Record.Spec.DependsOn) > 0 {
-		// A user who was told that a dependency is cancelled is not told
-		// afterwards that this job is pending.
+		// Once a user was told that a dependency is cancelled, no later answer
+		// may say that this job is pending.
 		cancelled, err := n.hasCancelledDependency(ctx, stored.live)
 		if err != nil {
 			return protocol.JobStatus{}, ErrUnavailable
@@ -57,7 +57,7 @@
 	id := live.Record.Spec.ID
 	end, err := n.writeCancellation(ctx, live)
 	if errors.Is(err, storage.ErrConflict) {
-		return n.JobStatus(ctx, id) // the record has changed: cancelled by another, or moved
+		return n.JobStatus(ctx, id) // the record has changed: cancelled by another controller, or migrated
 	}
 	if err != nil {
 		return protocol.JobStatus{}, ErrUnavailable
@@ -70,9 +70,9 @@
 	return protocol.JobStatus{ID: id, Status: end.Status, Done: end.Completed}
 }
 
-// liveStatus counts a live job's tasks for display. The holder of its shard
-// knows them; other controllers know what the records and the holder's last
-// status show.
+// liveStatus returns a live job's status with counts of its tasks for display.
+// The holder of its shard knows them; other controllers use the records and
+// the holder's last status.
 func (n *Node) liveStatus(live *clusterstate.JobRecord) protocol.JobStatus {
 	id, shardIndex := live.Record.Spec.ID, live.Record.Shard
 	done, _ := n.records.DoneTasks(live)
@@ -96,12 +96,13 @@
 	return status
 }
 
-// lookupJob returns a job's live record or its end, whichever it has, no older
-// than anything that a user was told before the call. The copy of the records is
-// brought up to date for that, which costs the store one request for all who ask
-// at about the same time. A job that the copy then lacks has ended or was never
-// accepted, which its end tells. While the copy is read anew, or if it can't show
-// the record, the store is asked for both.
+// lookupJob returns a job's live record or its end record, whichever exists,
+// at least as recent as anything that a user was told before the call. To that
+// end, the local copy of the records is brought up to date, which takes one
+// store request for all callers at about the same time. A job that the copy
+// then lacks has ended or was never accepted, and its end record tells which.
+// While the copy is being reloaded, or if the job's record is unreadable, both
+// records are read from the store.
 func (n *Node) lookupJob(ctx context.Context, id string) (storedJob, error) {
 	if end, ok := n.cachedEndedJob(id); ok {
 		return storedJob{end: &end}, nil
@@ -125,7 +126,8 @@
 	return storedJob{end: end}, err
 }
 
-// cachedEndedJob returns a job's end, if this controller has read it. Ends are final.
+// cachedEndedJob returns a job's end record if it is cached. End records are
+// final.
 func (n *Node) cachedEndedJob(id string) (storage.EndedJob, bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -133,8 +135,8 @@
 	return end, ok
 }
 
-// readJob reads a job from the store: the live record first and then the end, in
-// the order in which a job moves, so that neither is missed.
+// readJob reads a job from the store: the live record first and then the end
+// record, in the order in which a job moves, so that neither is missed.
 func (n *Node) readJob(ctx context.Context, id string) (storedJob, error) {
 	item, err := n.store.Get(ctx, storage.JobKey(id))
 	if err == nil {
@@ -148,8 +150,8 @@
 	return storedJob{end: end}, err
 }
 
-// readEndedJob returns a job's end, reading it from the store if it is not known; nil
-// if the job has none.
+// readEndedJob returns a job's end record, reading it from the store if it is
+// not cached; nil if the job has none.
 func (n *Node) readEndedJob(ctx context.Context, id string) (*storage.EndedJob, error) {
 	if end, ok := n.cachedEndedJob(id); ok {
 		return &end, nil
--- a/internal/coordination/job_writes.go
+++ b/internal/coordination/job_writes.go
@@ -15,28 +15,28 @@
 )
 
 const (
-	// progressInterval is how often the record of one job is brought up to
-	// date. Progress that is not written costs little (see writeJobs), and users
-	// are told of it without the record.
+	// progressInterval is the least time between two progress writes for one
+	// job. Progress that is not written costs little (see writeJobs), and
+	// users are told of it without the record.
 	progressInterval = 3 * time.Second
 	// writesPerEnd is the number of writes in the transaction that ends a job:
-	// its record is deleted and its end is put.
+	// its record is deleted and its end record is put.
 	writesPerEnd = 2
 )
 
-// jobWrite is one write of a job's record: its end, or its progress.
+// jobWrite is one write for a job: its end record or its progress.
 type jobWrite struct {
 	job    *job
 	done   int // completed tasks when the write was built; more may complete since
 	txn    protocol.Txn
 	end    *storage.EndedJob         // nil: progress
-	chunks []storage.CompletionChunk // completion chunks that are written; all others stay
+	chunks []storage.CompletionChunk // completion chunks to write; all others stay unchanged
 }
 
-// writeJobs writes ended jobs and, as far as the write budget allows, the
-// progress of others, those with most unsaved tasks first. Progress that is not
-// written costs, should this controller fail, the fetch of an image for each
-// task; results are kept by the workers.
+// writeJobs writes the end records of completed jobs and, within the write
+// budget, the progress of others, those with the most unsaved tasks first. If
+// this controller fails, progress that was not written costs one image fetch
+// for each task; the workers keep the results.
 func (n *Node) writeJobs(ctx context.Context) {
 	var wg sync.WaitGroup
 	for _, write := range n.buildJobWrites() {
@@ -45,8 +45,8 @@
 	wg.Wait()
 }
 
-// buildJobWrites returns the writes to make now, and marks their jobs as being
-// saved.
+// buildJobWrites returns the writes to make now and marks their jobs as
+// saving.
 func (n *Node) buildJobWrites() []jobWrite {
 	now := n.now()
 	n.mu.Lock()
@@ -65,8 +65,8 @@
 }
 
 // unsavedJobs returns the writes of all jobs with completed tasks that the
-// records don't show: the ends of those that are complete, and the progress of
-// those whose record is due, without its content.
+// records lack: end records for complete jobs, and progress, still without its
+// content, for jobs whose next progress write is due.
 func (n *Node) unsavedJobs(now time.Time) (ends, progress []jobWrite) {
 	for _, s := range n.shards {
 		for _, j := range s.jobs {
@@ -90,9 +90,9 @@
 	return ends, progress
 }
 
-// jobPreconditions are those of every write of a job by the holder of its shard.
-// The shard's revision keeps out a write that arrives after a failover; the
-// job's own, one that arrives after a later write.
+// jobPreconditions returns the preconditions of every write of a job by the
+// holder of its shard. The shard's revision rejects a write that arrives after
+// a failover; the job's revision rejects one that arrives after a later write.
 func jobPreconditions(s *shard, j *job) []protocol.Precondition {
 	return []protocol.Precondition{
 		{Key: storage.ShardKey(s.index), Revision: s.revision},
@@ -100,8 +100,8 @@
 	}
 }
 
-// limitProgress returns those writes of progress that the write budget leaves
-// room for beside the ends, those with most unsaved tasks.
+// limitProgress returns the progress writes that fit into the write budget
+// beside the end records, preferring jobs with the most unsaved tasks.
 func (n *Node) limitProgress(progress []jobWrite, endCount int) []jobWrite {
 	unsaved := func(write jobWrite) int { return write.done - write.job.savedCount }
 	slices.SortFunc(progress, func(a, b jobWrite) int {
@@ -111,9 +111,9 @@
 	return progress[:min(len(progress), budget)]
 }
 
-// addProgress adds what a write of progress writes: as many unsaved completion
-// chunks as a transaction may hold or, while former versions read the records,
-// the job's own record with the completed tasks.
+// addProgress adds the content of a progress write: as many unsaved completion
+// chunks as a transaction may hold or, while former versions still read the
+// records, the job's own record with its completed tasks.
 func (n *Node) addProgress(write *jobWrite) {
 	id := write.job.id
 	if !n.records.CompletionChunksEnabled() {
@@ -132,8 +132,9 @@
 	}
 }
 
-// maxChunksPerTxn returns how many completion chunks one transaction may write:
-// by its number of operations, by the write budget and by the size of a request.
+// maxChunksPerTxn returns how many completion chunks one transaction may
+// write, limited by its number of operations, the write budget and the size of
+// a request.
 func (n *Node) maxChunksPerTxn() int {
 	limits := n.storeLimits()
 	maxByBudget := max(1, n.store.DeferrableWrites())
@@ -141,16 +142,16 @@
 	return min(limits.TxnOps, maxByBudget, maxBySize)
 }
 
-// encodeCompleted encodes a job's completed tasks for its own record, of which
-// checkRecordSize leaves them all but the specification's share. Tasks that
-// don't fit are left out.
+// encodeCompleted encodes a job's completed tasks for its own record. They may
+// take the part of the record that checkRecordSize does not leave to the
+// specification; tasks that don't fit are left out.
 func (n *Node) encodeCompleted(j *job) string {
 	return j.done.StringWithin(int(n.settings.Deployment.State.ValueKB*1024) * (specSizeDivisor - 1) / specSizeDivisor)
 }
 
-// unsavedChunks returns the completion chunks that hold tasks which the records
-// don't show. The job's own record, which says what the job is, stays as it
-// was, so a late write of it by a former version loses nothing.
+// unsavedChunks returns the completion chunks that hold tasks which the
+// records lack. The job's own record, with its specification, stays unchanged,
+// so a late write of it by a former version loses nothing.
 func (n *Node) unsavedChunks(j *job) []storage.CompletionChunk {
 	var unsaved []storage.CompletionChunk
 	width := storage.ChunkWidth(n.storeLimits().MaxValueBytes())
@@ -167,12 +168,13 @@
 	return unsaved
 }
 
-// writeJob makes one write and records its outcome. A write that failed, or whose
-// outcome is unknown, is built again from what the records then show.
+// writeJob makes one write and records its outcome. A write that failed, or
+// whose outcome is unknown, is built again later from what the records show by
+// then.
 func (n *Node) writeJob(ctx context.Context, write jobWrite) {
 	commit := n.store.Txn
 	if write.end != nil {
-		commit = n.store.TxnByDeadline // its user waits for it
+		commit = n.store.TxnByDeadline // its user is waiting for it
 	}
 	revision, err := commit(ctx, write.txn)
 	n.mu.Lock()
@@ -191,7 +193,7 @@
 	}
 }
 
-// recordStoredEnd records that the store has a job's end.
+// recordStoredEnd records that the store has a job's end record.
 func (n *Node) recordStoredEnd(write jobWrite) {
 	n.latency.RecordSince(write.job.spec.Class, latency.StoreCompletion, write.job.completedAt)
 	n.ends.add(write.job.id, *write.end)
@@ -200,8 +202,8 @@
 	slog.Debug("job completed", "job", write.job.id)
 }
 
-// recordStoredChunks records that the store has completion chunks, which the copy
-// of the records may not show yet.
+// recordStoredChunks records that the store has completion chunks, which the
+// local copy of the records may not show yet.
 func (n *Node) recordStoredChunks(write jobWrite, revision uint64) {
 	n.records.AddCompletionChunks(write.job.id, write.chunks, revision)
 	if n.allSaved(write.job, write.done) {
@@ -209,8 +211,8 @@
 	}
 }
 
-// allSaved reports whether the chunks hold as many tasks as were completed when
-// they were built; more may have completed since.
+// allSaved reports whether the stored chunks hold at least as many tasks as
+// were completed when the write was built.
 func (n *Node) allSaved(j *job, done int) bool {
 	var all storage.IndexSet
 	for from, chunk := range n.records.CompletionChunks[j.id] {
@@ -219,8 +221,8 @@
 	return all.Len() >= done
 }
 
-// newEndedJob returns the end record of a job. Former versions write fewer of its
-// fields, and read no more.
+// newEndedJob returns the end record of a job. While former versions may read
+// it, the fields that they don't know are left out.
 func (n *Node) newEndedJob(status string, done int, spec *protocol.Job) *storage.EndedJob {
 	end := &storage.EndedJob{Status: status, Completed: done}
 	if n.records.DependenciesEnabled() {
--- a/internal/coordination/latency.go
+++ b/internal/coordination/latency.go
@@ -13,11 +13,10 @@
 	"reedtrack/internal/placement"
 )
 
-// Latency recording; without it (s.latency is nil) each call costs one
+// Latency recording. While it is disabled (s.latency is nil), each call costs one
 // comparison.
 
-// recordPlaced records how long a task waited until it was placed, and for
-// what.
+// recordPlaced records how long a task waited until it was placed, by stage.
 func (s *shard) recordPlaced(a *taskAttempt) {
 	if s.latency == nil {
 		return
@@ -40,7 +39,7 @@
 	s.latency.Record(j.spec.Class, stage, now.Sub(startableAt))
 }
 
-// recordStarted records how long the start order and the image fetch took.
+// recordStarted records how long the start command and the image fetch took.
 func (s *shard) recordStarted(a *taskAttempt) {
 	if s.latency == nil || a.placedAt.IsZero() || a.startSentAt.IsZero() {
 		return
@@ -60,22 +59,23 @@
 	}
 }
 
-// recordLost records the time that an attempt took without completing its task.
+// recordLost records the time spent on an attempt that did not complete its
+// task.
 func (s *shard) recordLost(a *taskAttempt) {
 	if s.latency != nil && !a.placedAt.IsZero() && !a.job.done.Contains(a.key.task) {
 		s.latency.Record(a.job.spec.Class, latency.LostAttempt, time.Since(a.placedAt))
 	}
 }
 
-// recordConfirmed notes when an unconfirmed job became startable.
+// recordConfirmed records when an unconfirmed job became startable.
 func (s *shard) recordConfirmed(j *job) {
 	if s.latency != nil && j.unconfirmed {
 		j.startableAt = time.Now()
 	}
 }
 
-// logLatencyLoop logs the latency of tasks by stage since the start, and more
-// often a summary of the shards.
+// logLatencyLoop regularly logs the latency of tasks by stage since the
+// controller's start and, more often, a summary of each shard.
 func (n *Node) logLatencyLoop(ctx context.Context) {
 	const summariesPerReport = 5
 	for i := 1; ctx.Err() == nil; i++ {
@@ -93,8 +93,9 @@
 	}
 }
 
-// summary describes what a shard has, uses and lacks, in cores, and for each
-// class how many tasks run and are pending, those within a guarantee apart.
+// summary describes a shard's capacity, use and shortage in cores, and for
+// each class the running and pending tasks, with those within a guarantee
+// listed separately.
 func (s *shard) summary() string {
 	return s.capacitySummary() + s.quotaSummary() + s.classSummary()
 }
@@ -124,7 +125,7 @@
 	return fmt.Sprintf("machines=%d cores=%.0f used=%.0f wide=%.0f unready=%.0f silent=%.0f coming=%.0f settled=%v", len(s.machines), cores, used, largeFree, notReady, silent, booting, s.reconciled)
 }
 
-// quotaSummary describes what each team uses of its share, in cores.
+// quotaSummary describes each team's usage and share, in cores.
 func (s *shard) quotaSummary() string {
 	var text strings.Builder
 	for _, team := range slices.Sorted(maps.Keys(s.shares)) {
@@ -133,7 +134,7 @@
 	return text.String()
 }
 
-// classSummary describes how many tasks of each class run and are pending.
+// classSummary describes how many tasks of each class are running and pending.
 func (s *shard) classSummary() string {
 	type count struct {
 		running         int
--- a/internal/coordination/machine.go
+++ b/internal/coordination/machine.go
@@ -15,9 +15,10 @@
 
 const (
 	// machineUnreconciled: the machine was granted before this holder acquired
-	// the shard, and its worker has not yet sent a heartbeat with this holder's
-	// fencing token. A task that it does not list does not count as absent: a
-	// start that an earlier holder sent may still be on its way.
+	// the shard, and its worker has not yet sent a heartbeat with this
+	// holder's fencing token. A task missing from its heartbeats does not
+	// count as absent, since a start sent by an earlier holder may still
+	// arrive.
 	machineUnreconciled machineState = iota
 	// machineReconciled: what runs on the machine is known.
 	machineReconciled
@@ -28,11 +29,11 @@
 
 // machine is a machine leased to a shard.
 //
-// Its state says what is known of its tasks. The transitions, with the
+// Its state says what is known of its tasks. These are the transitions and the
 // functions that make them:
 //
-//	(new)         -> reconciled   newMachine: granted under this very lease, so it
-//	                              was empty, and nobody else can have started
+//	(new)         -> reconciled   newMachine: granted under this lease, so it was
+//	                              empty, and no other holder can have started
 //	                              anything on it since
 //	(new)         -> unreconciled newMachine: granted earlier
 //	unreconciled  -> reconciled   markReconciled: heartbeat with this holder's token
@@ -40,19 +41,18 @@
 //	reconciled    -> expired      markLost: as above, or removed by the cloud
 //	expired       -> reconciled   markReturned: heartbeat of a new session
 //
-// The other flags don't exclude one another, nor follow from the state, so each
-// stands for itself. Whether the machine gets tasks depends on all of them: see
-// isSchedulable.
+// The other flags are independent of one another and of the state. Whether the
+// machine gets tasks depends on all of them: see isSchedulable.
 //
 //	health             set by detectFailures, and to healthy by any message of the
-//	                   worker: for how long it has been silent, short of its lease
+//	                   worker: how long it has been silent, before its lease expires
 //	removed            set by planTick, for good: the cloud's list lacks it. The
 //	                   machine is expired as well, and released.
 //	cordoned           set by recordTaskError, for good: its tasks fail. They are
 //	                   stopped, and the machine is released.
 //	slow               set by detectSlowMachines, for good: its tasks may end, then
 //	                   the machine is released
-//	reclaimAt          set and cleared by noteReclaimNotice, as the worker reports
+//	reclaimAt          set and cleared by recordReclaimNotice, as the worker reports
 //	                   it: the cloud will take the machine away
 //	draining           set by consolidate, cleared by it when work is pending: its
 //	                   tasks continue elsewhere, then the machine is released
@@ -71,9 +71,9 @@
 	// Its tasks.
 	attempts     map[taskKey]*taskAttempt
 	tasksToClear map[taskKey]uint64 // ended tasks that the worker may forget, with their attempts
-	orphans      map[taskKey]uint64 // reported tasks that should not be there, to be stopped
+	orphans      map[taskKey]uint64 // reported tasks that do not belong on the machine, to be stopped
 	images       map[string]bool    // images fetched for tasks of this holder
-	taskErrors   int                // in a row, by which the machine seems to be at fault
+	taskErrors   int                // consecutive errors that are attributed to the machine
 	idleSince    time.Time
 
 	// Messages from and to its worker.
@@ -81,7 +81,7 @@
 	direct        directState
 	lastHeartbeat time.Time // the newest heartbeat, or answer to a direct message
 	lastAnswered  time.Time // the last answer that may have renewed the worker's lease
-	fenceToken    uint64    // newer fencing token that it got as it was delegated, see delegation_fences.go; 0: none
+	fenceToken    uint64    // newer fencing token that it got when it was delegated, see delegation_fences.go; 0: none
 
 	// Its condition, see above.
 	state             machineState
@@ -96,8 +96,8 @@
 	zoneIndex         int                   // number of its zone, see failureDetector.zoneIndex
 }
 
-// newMachine returns a machine that a grant record shows for the first time.
-// grantedNow says that it was granted under the holder's present lease.
+// newMachine returns a machine that a grant record contains for the first
+// time. grantedNow says that it was granted under the holder's present lease.
 func newMachine(lease storage.MachineLease, size placement.Resources, grantedNow bool, now time.Time) *machine {
 	m := &machine{
 		lease:        lease,
@@ -116,8 +116,8 @@
 	return m
 }
 
-// isReconciled reports whether it is known what runs on the machine: only then
-// does a task that its worker does not list count as absent.
+// isReconciled reports whether all that runs on the machine is known: only
+// then does a task that its worker does not list count as absent.
 func (m *machine) isReconciled() bool { return m.state != machineUnreconciled }
 
 // isExpired reports whether the worker has been silent for so long that its
@@ -132,13 +132,13 @@
 }
 
 // markReturned records a heartbeat of a machine that had expired: it is back,
-// and empty.
+// without tasks.
 func (m *machine) markReturned(now time.Time) {
 	m.state = machineReconciled
 	m.idleSince = now
 }
 
-// markLost accounts for a machine that has certainly dropped all its tasks.
+// markLost handles a machine that has certainly dropped all its tasks.
 func (s *shard) markLost(m *machine) {
 	m.state = machineExpired
 	m.exchange.ForgetUnanswered()
@@ -149,40 +149,40 @@
 	}
 }
 
-// cordon keeps tasks away from a machine on which they fail.
+// cordon excludes a machine from placement because tasks fail on it.
 func (m *machine) cordon() {
 	m.cordoned = true
 	slog.Warn("machine cordoned: its tasks fail", "machine", m.lease.Machine)
 }
 
-// recordReclaimNotice records the cloud's notice, forwarded by the worker, that
-// it will reclaim the machine in so many seconds; nil: no notice. The time is
-// that of the first notice: the following ones repeat it, with some delay.
-func (m *machine) recordReclaimNotice(inS *float64, now time.Time) {
-	if inS == nil {
+// recordReclaimNotice records the cloud's notice, forwarded by the worker,
+// that it will reclaim the machine in this many seconds; nil: no notice. The
+// first notice sets the time, since later ones repeat it with some delay.
+func (m *machine) recordReclaimNotice(seconds *float64, now time.Time) {
+	if seconds == nil {
 		m.reclaimAt = time.Time{}
 		return
 	}
 	if m.reclaimAt.IsZero() {
-		m.reclaimAt = now.Add(time.Duration(*inS * float64(time.Second)))
-		slog.Info("machine reclaim announced", "machine", m.lease.Machine, "in_s", *inS)
+		m.reclaimAt = now.Add(time.Duration(*seconds * float64(time.Second)))
+		slog.Info("machine reclaim announced", "machine", m.lease.Machine, "in_s", *seconds)
 	}
 }
 
 // hasReported reports whether the machine has sent a heartbeat to this holder.
 func (m *machine) hasReported() bool { return m.exchange.HasReported() }
 
-// freeCapacity returns the capacity that no placed task uses.
+// freeCapacity returns the capacity that placed tasks leave unused.
 func (m *machine) freeCapacity() placement.Resources { return m.capacity.Sub(m.used) }
 
-// mayRunUnreportedTasks reports whether a machine may run tasks that are not
-// known here.
+// mayRunUnreportedTasks reports whether the machine may run tasks that this
+// holder does not know.
 func (m *machine) mayRunUnreportedTasks() bool {
 	return !m.isReconciled() || m.runsUnreadableJob || len(m.orphans) > 0
 }
 
-// isInService reports whether the machine is one that the shard counts on, even
-// if it can't have tasks at the moment.
+// isInService reports whether the shard counts on the machine, even if no task
+// can be placed on it at the moment.
 func (m *machine) isInService() bool {
 	return !m.isExpired() && !m.cordoned && !m.slow && !m.releasing && m.reclaimAt.IsZero()
 }
@@ -214,8 +214,8 @@
 	return machineKind{m.lease.MachineType, m.lease.Zone, m.lease.Spot}
 }
 
-// expireSilentMachines drops the tasks of machines that have been silent for
-// longer than their workers' lease.
+// expireSilentMachines drops the tasks of machines whose workers have been
+// silent for longer than their lease.
 func (s *shard) expireSilentMachines(now time.Time, leaseTimeout time.Duration) {
 	for _, m := range s.machines {
 		if !m.isExpired() && now.Sub(m.lastAnswered) > leaseTimeout {
@@ -226,9 +226,10 @@
 	s.updateReconciled()
 }
 
-// detectSlowMachines finds machines on which at least two tasks, and half of
-// all, run much longer than other tasks of the same job. Tasks there are left
-// to end, since starting them again would take as long; no more are placed.
+// detectSlowMachines marks machines on which at least two tasks, and at least
+// half of all, run much longer than other tasks of the same job. No more tasks
+// are placed there; running ones are left to finish, since starting them again
+// would take as long.
 func (s *shard) detectSlowMachines(now time.Time) {
 	for _, m := range s.machines {
 		overrunning := 0
--- a/internal/coordination/machine_inventory.go
+++ b/internal/coordination/machine_inventory.go
@@ -11,14 +11,14 @@
 	"reedtrack/internal/protocol"
 )
 
-// What the cloud's list says of a machine; it has further values that don't
-// matter here.
+// Statuses of machines in the cloud's list. Its other values don't matter here.
 const (
 	machineStarting = "starting"
 	machineFailed   = "failed"
 )
 
-// cloudMachine is a machine that the cloud or its worker reported.
+// cloudMachine is a machine known from the cloud or from its worker's
+// heartbeats.
 type cloudMachine struct {
 	id               string
 	kind             machineKind
@@ -29,17 +29,18 @@
 	reclaimAnnounced bool
 	hasTasks         bool // its heartbeat lists tasks that have not ended
 	unassignedSince  time.Time
-	granted          bool // some shard has had it
+	granted          bool // has been granted to some shard
 }
 
-// isFree reports whether a machine that no shard has may be granted: it is up,
-// empty, and the cloud has not announced to take it back.
+// isFree reports whether a machine that no shard has may be granted: it is up
+// and empty, and the cloud has not announced that it will reclaim it.
 func (m *cloudMachine) isFree(now time.Time, workerTimeout time.Duration) bool {
 	silent := m.lastHeartbeat.IsZero() || now.Sub(m.lastHeartbeat) > workerTimeout
 	return !silent && !m.hasTasks && !m.reclaimAnnounced
 }
 
-// receiveHeartbeat applies a heartbeat of a machine that no shard has.
+// receiveHeartbeat applies a heartbeat of a machine that is granted to no
+// shard.
 func (l *leadership) receiveHeartbeat(report *protocol.Heartbeat, now time.Time) {
 	if l.released[report.Machine] {
 		return
@@ -60,23 +61,24 @@
 	})
 }
 
-// addStarting adds a machine that the cloud has just promised.
+// addStarting adds a machine that the cloud has just agreed to start.
 func (l *leadership) addStarting(id string, kind machineKind, now time.Time) {
 	if l.machines[id] == nil {
 		l.machines[id] = &cloudMachine{id: id, kind: kind, status: machineStarting, requestedAt: now}
 	}
 }
 
-// forget removes a machine that is released or no longer exists. It is kept in
-// mind that it was: late heartbeats and lists may still show it.
+// forget removes a machine that is released or no longer exists. Its ID is
+// remembered, since late heartbeats and lists may still contain it.
 func (l *leadership) forget(id string) {
 	l.released[id] = true
 	delete(l.machines, id)
 	l.removeBooting(func(booting *bootingMachine) bool { return booting.id == id })
 }
 
-// freeMachines lists, by name, the machines that may be granted, and notes which
-// machines a shard has and since when the others are free.
+// freeMachines lists the machines that may be granted, sorted by ID, and
+// records which machines a shard has and since when the others have been
+// unassigned.
 func (l *leadership) freeMachines(shardOfMachine map[string]int, now time.Time, workerTimeout time.Duration) []*cloudMachine {
 	var free []*cloudMachine
 	for id, machine := range l.machines {
@@ -96,17 +98,18 @@
 	return free
 }
 
-// machineList is the cloud's whole list as it was requested at some time.
+// machineList is the cloud's complete list as requested at some time.
 type machineList struct {
 	machines    map[string]protocol.ListedMachine
 	requestedAt time.Time
-	// A list may be up to twice the lag old: one requested that much after a
-	// machine was known to exist describes a later time, and lacks it only if it
-	// no longer exists.
+	// A list may describe a time up to twice the lag ago. If it was requested
+	// longer than maxAge after a machine was known to exist, and lacks the
+	// machine, the machine no longer exists.
 	maxAge time.Duration
 }
 
-// listMachines reads the cloud's whole list and compares it with what is known.
+// listMachines reads the cloud's complete list and updates the inventory from
+// it.
 func (n *Node) listMachines(ctx context.Context, leadership *leadership, requestedAt time.Time) {
 	machines, err := n.readMachineList(ctx)
 	if err != nil {
@@ -128,7 +131,8 @@
 	n.wakeLoops()
 }
 
-// readMachineList reads all pages of the cloud's list, by machine ID.
+// readMachineList reads all pages of the cloud's list, and returns it by
+// machine ID.
 func (n *Node) readMachineList(ctx context.Context) (map[string]protocol.ListedMachine, error) {
 	machines := map[string]protocol.ListedMachine{}
 	since := ""
@@ -147,7 +151,7 @@
 	}
 }
 
-// addListedMachines takes over what a list says of each machine.
+// addListedMachines updates the inventory from the machines on a list.
 func (n *Node) addListedMachines(leadership *leadership, list machineList, now time.Time) {
 	for id, listed := range list.machines {
 		if leadership.released[id] {
@@ -172,12 +176,12 @@
 	}
 }
 
-// addUnlistedGranted adds granted machines that a list lacks though it describes
-// a later time than their grants. A machine was up when it was granted, so these
-// no longer exist. This spares a new leader, and with it a new holder, the wait
-// for the worker's lease.
+// addUnlistedGranted adds granted machines that are missing from a list
+// although it describes a later time than their grants. A machine was up when
+// it was granted, so these no longer exist. This spares a new leader, and with
+// it a new holder, waiting for the worker's lease to expire.
 func (n *Node) addUnlistedGranted(leadership *leadership, list machineList, now time.Time) {
-	// The grants' times are those of other controllers' clocks.
+	// Grant times come from other controllers' clocks.
 	maxClockError := 2 * int64(n.settings.Deployment.ClockErrorMS)
 	minAgeMS := list.maxAge.Milliseconds() + maxClockError
 	for _, grant := range n.records.Grants {
@@ -193,16 +197,16 @@
 				id:            lease.Machine,
 				kind:          machineKind{lease.MachineType, lease.Zone, lease.Spot},
 				requestedAt:   now,
-				firstListedAt: now.Add(-time.Hour), // longer ago than any list describes
+				firstListedAt: now.Add(-time.Hour), // before any time that a list may describe
 				granted:       true,
 			}
 		}
 	}
 }
 
-// findRemoved finds the machines that the list shows as failed, or that no
-// longer exist. Those that a shard has are reported to its holder; others that
-// no longer exist are forgotten.
+// findRemoved finds machines that the list shows as failed, or that no longer
+// exist. Those that a shard has are reported to its holder; others that no
+// longer exist are forgotten.
 func (l *leadership) findRemoved(list machineList, shardOfMachine map[string]int) {
 	l.failed = map[string]bool{}
 	for id, machine := range l.machines {
--- a/internal/coordination/overview.go
+++ b/internal/coordination/overview.go
@@ -14,14 +14,15 @@
 )
 
 const (
-	// maxOverviewJobs is how many jobs the operators' page lists, oldest first:
-	// the page has to stay readable, and small.
+	// maxOverviewJobs limits the jobs on the operators' page, oldest first, so
+	// that the page stays readable and small.
 	maxOverviewJobs = 200
-	// overviewTimeUnit is what short times are rounded to on the page.
+	// overviewTimeUnit is the unit to which short times on the page are
+	// rounded.
 	overviewTimeUnit = 100 * time.Millisecond
 )
 
-// Overview describes this controller for the operators' page.
+// Overview returns this controller's data for the operators' page.
 func (n *Node) Overview() transport.Overview {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -64,8 +65,8 @@
 	return overview
 }
 
-// upgradeProgress tells the schema version of the records and, during an upgrade,
-// how many controllers have run this version.
+// upgradeProgress returns the schema version of the records and, during an
+// upgrade, how many controllers have run this version.
 func (n *Node) upgradeProgress() string {
 	progress := fmt.Sprintf("records of form %d", max(n.records.SchemaVersion.Value.Version, storage.SchemaWhole))
 	if !n.records.SplitGrantsEnabled() {
@@ -83,8 +84,8 @@
 	return counts
 }
 
-// shardView describes a shard; only of those that this controller holds it knows
-// more than the records show.
+// shardView describes a shard. Of shards that other controllers hold, only
+// what the records show is known.
 func (n *Node) shardView(shardIndex, jobCount int) transport.ShardView {
 	lease := n.records.Shards[shardIndex].Value
 	view := transport.ShardView{
@@ -122,7 +123,7 @@
 	}
 }
 
-// addTeamUsage adds what each team uses and may use in a shard.
+// addTeamUsage adds each team's usage and share in a shard.
 func (n *Node) addTeamUsage(teams map[string]*transport.TeamView, s *shard) {
 	for name, quota := range n.teams {
 		if teams[name] == nil {
@@ -163,8 +164,9 @@
 	return view
 }
 
-// displayState returns the state of a machine as operators read it: of several
-// that apply, the one that says most about what will become of it.
+// displayState returns the state of a machine as shown to operators. If
+// several apply, it is the one that says most about what will become of the
+// machine.
 func (m *machine) displayState() string {
 	switch {
 	case m.releasing:
--- a/internal/coordination/reconcile.go
+++ b/internal/coordination/reconcile.go
@@ -8,14 +8,15 @@
 	"reedtrack/internal/protocol"
 )
 
-// Reconciliation: a heartbeat tells what is on a machine, and what this holder
-// assumes is changed to match; the answer carries the orders that change what
-// is on the machine to match the plan. Neither needs the other to arrive: each
-// heartbeat lists everything, and an order is sent again until a heartbeat
+// Reconciliation works in both directions. A heartbeat tells what is on a machine,
+// and this holder's view is updated to match. The answer carries the commands that
+// make the machine match the plan. Neither relies on the delivery of the other:
+// each heartbeat lists everything, and a command is sent again until a heartbeat
 // shows its effect.
 
-// receiveHeartbeat applies a worker's heartbeat. It returns false for one that
-// is older than the last and must not be answered.
+// receiveHeartbeat applies a worker's heartbeat. It returns false for a
+// heartbeat that must not be answered: one that is older than the last, or
+// from a session whose lease has expired.
 func (s *shard) receiveHeartbeat(m *machine, report *protocol.Heartbeat, now time.Time) bool {
 	firstHeartbeat := !m.hasReported()
 	sameSession := !firstHeartbeat && report.Session == m.exchange.Session()
@@ -27,8 +28,8 @@
 		s.dropSentAttempts(m)
 	}
 	if m.isExpired() && sameSession {
-		// By our clock its lease has expired, and the worker has not noticed
-		// yet. It will before it can apply an answer.
+		// By this controller's clock the worker's lease has expired, and the
+		// worker has not noticed yet. It will before it can apply an answer.
 		return false
 	}
 	m.address, m.direct.reportedAt = report.Address, now
@@ -37,8 +38,8 @@
 		m.direct.answered = true
 	}
 	if sequence == dispatch.Overtaken {
-		// A newer answer to a direct message already told what it lists. The
-		// worker waits for orders all the same.
+		// A newer answer to a direct message already reported what it lists.
+		// The worker still waits for commands.
 		return true
 	}
 	if firstHeartbeat || m.isExpired() {
@@ -56,7 +57,7 @@
 	return true
 }
 
-// reconcileMachine makes what is assumed to be on a machine match its
+// reconcileMachine updates this holder's view of a machine to match its
 // heartbeat.
 func (s *shard) reconcileMachine(m *machine, report *protocol.Heartbeat, now time.Time) {
 	clear(m.orphans)
@@ -70,8 +71,8 @@
 	s.dropAbsentAttempts(m, listed, report.FencingToken)
 }
 
-// reconcileTasks applies the tasks that a report lists, and returns the keys of
-// those that belong to this holder. For a task that is not known, adopt tells
+// reconcileTasks applies the tasks that a report lists, and returns the keys
+// of those that belong to this holder. For an unknown task, adopt decides
 // whether it belongs to the holder now.
 func (s *shard) reconcileTasks(m *machine, report *protocol.Heartbeat, now time.Time, adopt func(taskKey, protocol.TaskStatus) bool) map[taskKey]bool {
 	listed := make(map[taskKey]bool, len(report.Tasks))
@@ -110,8 +111,8 @@
 	m.tasksToClear[attempt.key] = reported.Attempt
 }
 
-// recordTaskDone accounts for an attempt that ended without an error. A
-// service's task is started again; any other has completed.
+// recordTaskDone handles an attempt that ended without an error. A service's
+// task is started again; any other task has completed.
 func (s *shard) recordTaskDone(m *machine, attempt *taskAttempt, now time.Time) {
 	j := attempt.job
 	if !j.spec.IsService() {
@@ -127,15 +128,16 @@
 	j.backoff = 0
 }
 
-// completeTask records a completed task. The end of a whole job should not wait
-// for the next write.
+// completeTask records a completed task. If it completes the job, the shard is
+// marked as changed, since the end of a job should not wait for the next
+// regular write.
 func (s *shard) completeTask(j *job, task int) {
 	j.markDone(task)
 	s.dirty = s.dirty || j.isComplete()
 }
 
-// A machine is cordoned after so many task errors in a row; a job that has
-// failed on so many machines is delayed, each time for twice as long.
+// A machine is cordoned after maxTaskErrors consecutive task errors. A job that has
+// failed on maxMachinesFailedOn machines is delayed, each time for twice as long.
 const (
 	maxTaskErrors        = 2
 	maxMachinesFailedOn  = 3
@@ -144,9 +146,9 @@
 	taskErrorDelayFactor = 2
 )
 
-// recordTaskError attributes a task's error. Mostly the machine is at fault and
-// is cordoned after two errors; a job that fails on several machines without
-// ever completing a task is delayed instead.
+// recordTaskError attributes a task's error. Usually the machine is at fault
+// and is cordoned after two consecutive errors; a job that fails on several
+// machines without ever completing a task is delayed instead.
 func (s *shard) recordTaskError(m *machine, j *job, now time.Time) {
 	if j.failedMachines == nil {
 		j.failedMachines = map[string]bool{}
@@ -190,22 +192,23 @@
 	return j != nil && task < j.spec.Tasks && j.isTaskPending(task) && (!m.isReconciled() || j.unconfirmed)
 }
 
-// buildCommands returns the orders that answer a heartbeat.
+// buildCommands returns the commands in the answer to a heartbeat.
 func (s *shard) buildCommands(m *machine, now time.Time) []protocol.Command {
-	orders := s.clearCommands(m)
-	orders = append(orders, s.startsBeforeStops(m)...)
-	orders = append(orders, s.stopCommands(m, now)...)
+	commands := s.clearCommands(m)
+	commands = append(commands, s.startsBeforeStops(m)...)
+	commands = append(commands, s.stopCommands(m, now)...)
 	if m.isReconciled() && !m.cordoned && !m.releasing {
-		orders = append(orders, s.startCommands(m, now)...)
+		commands = append(commands, s.startCommands(m, now)...)
 	}
 	m.lastAnswered = now
-	return orders
+	return commands
 }
 
-// clearCommands has the worker forget ended tasks. It returns an empty list
-// rather than nil, as the answer's encoding shows the difference.
+// clearCommands returns the commands that make the worker forget ended tasks.
+// It returns an empty list rather than nil, since the encoding of the answer
+// differs.
 func (s *shard) clearCommands(m *machine) []protocol.Command {
-	orders := []protocol.Command{}
+	commands := []protocol.Command{}
 	for key, attempt := range m.tasksToClear {
 		j := s.jobs[key.job]
 		if j != nil && j.done.Contains(key.task) && j.savedCount < j.done.Len() {
@@ -213,32 +216,32 @@
 			continue
 		}
 		if !m.exchange.CanClear(key, attempt, s.guards) {
-			continue // a copy of its start order may still arrive, and would start it again
+			continue // a duplicate of its start command may still arrive and would start it again
 		}
-		orders = append(orders, newCommand(protocol.VerbClear, key, attempt))
+		commands = append(commands, newCommand(protocol.VerbClear, key, attempt))
 	}
-	return orders
+	return commands
 }
 
-// startsBeforeStops returns starts of attempts that are to be stopped, and
-// whose start order may still be on its way directly. A worker does not start
-// an attempt twice, so the late copy then has no effect.
+// startsBeforeStops returns the starts of attempts that are to be stopped
+// while their start may still be in flight in a direct message. A worker does
+// not start an attempt twice, so the late duplicate then has no effect.
 func (s *shard) startsBeforeStops(m *machine) []protocol.Command {
-	var orders []protocol.Command
+	var commands []protocol.Command
 	for _, attempt := range m.attempts {
 		if attempt.stopRequested && attempt.start.IsUnconfirmed() && s.guards&dispatch.WithoutStartBeforeStop == 0 {
 			attempt.start.MarkSentInResponse()
-			orders = append(orders, attempt.command(protocol.VerbStart))
+			commands = append(commands, attempt.command(protocol.VerbStart))
 		}
 	}
-	return orders
+	return commands
 }
 
-// startCommands returns the starts that the answer to a heartbeat has to carry:
-// those not sent yet, and those sent directly that the worker has not reported
-// yet.
+// startCommands returns the starts that the answer to a heartbeat has to
+// carry: those not sent yet, and those sent directly that the worker has not
+// reported yet.
 func (s *shard) startCommands(m *machine, now time.Time) []protocol.Command {
-	var orders []protocol.Command
+	var commands []protocol.Command
 	for _, attempt := range m.attempts {
 		if attempt.stopRequested || attempt.job.ended || !attempt.start.IsDue() {
 			continue
@@ -247,29 +250,29 @@
 		if attempt.startSentAt.IsZero() {
 			attempt.startSentAt = now
 		}
-		orders = append(orders, attempt.command(protocol.VerbStart))
+		commands = append(commands, attempt.command(protocol.VerbStart))
 	}
-	return orders
+	return commands
 }
 
-// stopCommands returns the stop orders that are due on a machine: for orphans,
-// which get no time to save a checkpoint, and for attempts.
+// stopCommands returns the stop commands that are due on a machine: for
+// orphans, which get no time to save a checkpoint, and for attempts.
 func (s *shard) stopCommands(m *machine, now time.Time) []protocol.Command {
-	var orders []protocol.Command
+	var commands []protocol.Command
 	for key, number := range m.orphans {
-		orders = append(orders, stopCommand(key, number, 0))
+		commands = append(commands, stopCommand(key, number, 0))
 	}
 	for key, attempt := range m.attempts {
 		if attempt.stopRequested && attempt.start.IsSent() {
 			attempt.stopSentAt = now
-			orders = append(orders, stopCommand(key, attempt.number, attempt.gracePeriod))
+			commands = append(commands, stopCommand(key, attempt.number, attempt.gracePeriod))
 		}
 	}
-	return orders
+	return commands
 }
 
-// stopCommand returns the order to stop an attempt of a task after so many
-// seconds at most.
+// stopCommand returns the command to stop an attempt of a task after a grace
+// period in seconds.
 func stopCommand(key taskKey, attempt uint64, gracePeriod float64) protocol.Command {
 	command := newCommand(protocol.VerbStop, key, attempt)
 	command.GracePeriodSeconds = &gracePeriod
--- a/internal/coordination/record_changes.go
+++ b/internal/coordination/record_changes.go
@@ -13,7 +13,8 @@
 	"reedtrack/internal/transport"
 )
 
-// onSync records that the copy shows all that was committed before sentAt.
+// onSync records that the local copy of the records shows everything committed
+// before sentAt.
 func (n *Node) onSync(sentAt time.Time) {
 	n.mu.Lock()
 	n.records.MarkSynced(sentAt)
@@ -22,7 +23,7 @@
 }
 
 // applyAll applies changes of the store's live records under one lock, so that
-// a transaction of several records shows whole or not at all.
+// a transaction on several records becomes visible atomically.
 func (n *Node) applyAll(batch []protocol.Change) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -34,7 +35,7 @@
 	n.resolveDependencies()
 }
 
-// handleChange carries out what follows from one change of the records.
+// handleChange applies the consequences of one record change.
 func (n *Node) handleChange(change clusterstate.Change) {
 	switch change := change.(type) {
 	case clusterstate.ControllerChange:
@@ -61,7 +62,8 @@
 	}
 }
 
-// updateGrant gives a shard that this controller holds its changed grant.
+// updateGrant applies a changed grant to its shard, if this controller holds
+// it.
 func (n *Node) updateGrant(change clusterstate.GrantChange) {
 	s := n.shards[change.Shard]
 	if s == nil {
@@ -71,12 +73,12 @@
 	s.setGrant(change.Grant, n.records.MachineSize, n.now())
 	if !change.HeadChanged {
 		// Only the machine leases have changed. A write that lowers the
-		// shares may still be in flight: they rise with a newer head alone.
+		// shares may still be in flight, so only a newer head raises them.
 		s.shares = shares
 	}
 }
 
-// updateJob tells the shards that this controller holds of a changed job.
+// updateJob applies a changed job to the shards that this controller holds.
 func (n *Node) updateJob(change clusterstate.JobChange) {
 	previous, current := change.Previous, change.Current
 	if current == nil {
@@ -97,20 +99,20 @@
 	}
 }
 
-// isOwnSession reports whether a record names this controller's present session.
+// isOwnSession reports whether a record names this controller's present
+// session.
 func (n *Node) isOwnSession(controller storage.Controller) bool {
 	return controller.Name == n.settings.HostName && controller.Session == n.session.id && n.session.id != 0
 }
 
-// syncShards acquires and releases shards as the records say.
+// syncShards acquires and releases shards to match the records.
 func (n *Node) syncShards() {
 	for i := range n.records.Shards {
 		n.acquireOrReleaseShard(i)
 	}
 }
 
-// acquireOrReleaseShard compares one shard's record with what this controller
-// holds.
+// acquireOrReleaseShard acquires or releases one shard to match its record.
 func (n *Node) acquireOrReleaseShard(i int) {
 	record, ok := n.records.Shards[i]
 	held := n.shards[i]
@@ -144,13 +146,13 @@
 	slog.Info("shard acquired", "shard", i, "fencing_token", s.fencingToken, "machine_count", len(s.machines), "jobs", len(s.jobs))
 }
 
-// newJob returns a job as its records show it, with nothing placed.
+// newJob returns a job as the records show it, without attempts.
 func (n *Node) newJob(jr *clusterstate.JobRecord) *job {
 	done, _ := n.records.DoneTasks(jr)
 	return n.newJobWithDone(jr, done)
 }
 
-// newJobWithDone returns a job whose completed tasks are known.
+// newJobWithDone returns a job with the given completed tasks.
 func (n *Node) newJobWithDone(jr *clusterstate.JobRecord, done storage.IndexSet) *job {
 	spec := jr.Record.Spec
 	j := &job{
@@ -166,23 +168,23 @@
 		savedCount:    done.Len(),
 		urgency:       spec.PriorityLevel(),
 		deadlineMS:    math.Inf(1),
-		blocked:       len(spec.DependsOn) > 0, // until the ends of its dependencies are known
+		blocked:       len(spec.DependsOn) > 0, // until the end records of its dependencies are known
 	}
 	if spec.DeadlineSeconds != nil {
 		j.deadlineMS = float64(jr.Record.AcceptedAtMS) + 1000**spec.DeadlineSeconds
 	}
 	if len(spec.MachineTypes) > 0 {
 		j.machineTypes = map[string]bool{}
-		for _, b := range spec.MachineTypes {
-			j.machineTypes[b] = true
+		for _, name := range spec.MachineTypes {
+			j.machineTypes[name] = true
 		}
 	}
 	return j
 }
 
 // monotonicTime converts Unix milliseconds into a time of the monotonic clock.
-// The wall clock may be stepped, so only the age of the record is measured with
-// it.
+// The wall clock may be stepped, so it is used only to measure the age of the
+// record.
 func (n *Node) monotonicTime(ms int64) time.Time {
 	now := n.now()
 	return now.Add(min(0, time.Duration(ms-now.UnixMilli())*time.Millisecond))
--- a/internal/coordination/service.go
+++ b/internal/coordination/service.go
@@ -14,24 +14,24 @@
 	"reedtrack/internal/transport"
 )
 
-// Service answers HTTP requests for a controller: it decodes them, asks the node
-// and chooses the status.
+// Service handles a controller's HTTP requests: it decodes them, calls the
+// node and chooses the status code.
 type Service struct{ Node *Node }
 
 var _ transport.Service = Service{}
 
-// refusalLog bounds how much of the log users can fill with refused requests.
+// refusalLog limits how much of the log users can fill with rejected requests.
 var refusalLog = rate.Sometimes{First: 20, Interval: time.Second}
 
-// errorResponse returns the status and body for an error of a request. 400, 404
-// and 422 are final: the request can't succeed as it is. After 503 the user
-// retries, so it is the answer to every error that isn't known to be final.
+// errorResponse returns the status code and body for a request's error. 400,
+// 404 and 422 are final: the request can't succeed as it is. Users retry after
+// 503, so it is returned for every error that isn't known to be final.
 func errorResponse(err error) (int, any) {
-	var badField *protocol.InvalidFieldError
+	var invalidField *protocol.InvalidFieldError
 	var invalid *InvalidJobError
 	switch {
-	case errors.As(err, &badField):
-		return http.StatusBadRequest, protocol.ErrorResponse{Error: badField.Error(), Field: badField.Field}
+	case errors.As(err, &invalidField):
+		return http.StatusBadRequest, protocol.ErrorResponse{Error: invalidField.Error(), Field: invalidField.Field}
 	case errors.As(err, &invalid):
 		return http.StatusUnprocessableEntity, protocol.ErrorResponse{Error: invalid.Error(), Field: invalid.Field}
 	case errors.Is(err, ErrJobNotFound):
@@ -40,8 +40,8 @@
 	return http.StatusServiceUnavailable, protocol.ErrorResponse{Error: err.Error()}
 }
 
-// Submit answers POST /v1/jobs: 201 if this request had the job accepted, 200 if
-// it had been accepted before.
+// Submit handles POST /v1/jobs: 201 if this request had the job accepted, 200
+// if it had been accepted before.
 func (s Service) Submit(ctx context.Context, body []byte) (int, any) {
 	j, err := protocol.ParseJob(body)
 	if err != nil {
@@ -60,11 +60,11 @@
 	return http.StatusCreated, submission.Status
 }
 
-// handleMalformed answers a submission that can't be decoded. One that repeats
-// an accepted job's ID is answered with the job's status, whatever else is
-// wrong with it: a 400 would tell the user that the job does not exist. Only
-// the store knows whether it was accepted; without the store nothing is
-// refused.
+// handleMalformed handles a submission that can't be decoded. If it repeats an
+// accepted job's ID, the answer is the job's status, whatever else is wrong
+// with it: a 400 would tell the user that the job does not exist. Only the
+// store knows whether a job was accepted, so nothing is rejected while the
+// store is unavailable.
 func (s Service) handleMalformed(ctx context.Context, body []byte, parseError error) (int, any) {
 	id, ok := protocol.ExtractJobID(body)
 	if ok {
@@ -80,36 +80,36 @@
 	return errorResponse(parseError)
 }
 
-// JobStatus answers GET /v1/jobs/{id}.
+// JobStatus handles GET /v1/jobs/{id}.
 func (s Service) JobStatus(ctx context.Context, id string) (int, any) {
 	return handleJobRequest(ctx, id, s.Node.JobStatus)
 }
 
-// Cancel answers POST /v1/jobs/{id}/withdraw.
+// Cancel handles POST /v1/jobs/{id}/withdraw.
 func (s Service) Cancel(ctx context.Context, id string) (int, any) {
 	return handleJobRequest(ctx, id, s.Node.Cancel)
 }
 
-// Dependencies answers GET /v1/jobs/{id}/waits: the job's dependencies.
+// Dependencies handles GET /v1/jobs/{id}/waits: the job's dependencies.
 func (s Service) Dependencies(ctx context.Context, id string) (int, any) {
 	return handleJobRequest(ctx, id, s.Node.Dependencies)
 }
 
-// handleJobRequest answers a request about one job with what the node's function
-// returns for it. A job whose ID is malformed was never accepted, so no store is
+// handleJobRequest handles a request about one job by calling a method of the
+// node. A job whose ID is malformed was never accepted, so the store is not
 // asked.
-func handleJobRequest[T any](ctx context.Context, id string, ask func(context.Context, string) (T, error)) (int, any) {
+func handleJobRequest[T any](ctx context.Context, id string, query func(context.Context, string) (T, error)) (int, any) {
 	if !protocol.ValidJobID(id) {
 		return errorResponse(ErrJobNotFound)
 	}
-	answer, err := ask(ctx, id)
+	answer, err := query(ctx, id)
 	if err != nil {
 		return errorResponse(err)
 	}
 	return http.StatusOK, answer
 }
 
-// Heartbeat answers POST /checkin: a worker's heartbeat.
+// Heartbeat handles POST /checkin: a worker's heartbeat.
 func (s Service) Heartbeat(body []byte) (int, any) {
 	report, err := protocol.ParseHeartbeat(body)
 	if err != nil {
@@ -125,5 +125,5 @@
 	return answer.Status, protocol.ErrorResponse{Error: "not in charge"}
 }
 
-// IsReady answers GET /up.
+// IsReady handles GET /up.
 func (s Service) IsReady() bool { return s.Node.IsReady() }
--- a/internal/coordination/service_test.go
+++ b/internal/coordination/service_test.go
@@ -20,7 +20,7 @@
  "cards":0,"ram_gb":1,"bundle":"i","pull_gb":1,"one_zone":false,"spread":false,"loaners":true,"guess_s":5,
  "save_every_s":0,"save_takes_s":0}`
 
-// submissionStep submits the valid submission with a part of it replaced.
+// submissionStep submits the valid submission with one part of it replaced.
 type submissionStep struct {
 	name     string
 	old, new string
@@ -33,7 +33,8 @@
 	service Service
 }
 
-// submit makes the submissions in order, and checks the status of each answer.
+// submit makes the submissions in order and checks the status code of each
+// answer.
 func (c serviceClient) submit(t *testing.T, steps ...submissionStep) {
 	t.Helper()
 	for _, step := range steps {
@@ -42,14 +43,15 @@
 	}
 }
 
-// poll asks for a job's status, and checks the status of the answer.
+// poll requests a job's status and checks the status code of the answer.
 func (c serviceClient) poll(t *testing.T, name, id string, want int) {
 	t.Helper()
 	got, _ := c.service.JobStatus(c.ctx, id)
 	checkStatus(t, name, got, want)
 }
 
-// cancel cancels a job, checks the status of the answer and returns its body.
+// cancel cancels a job, checks the status code of the answer and returns its
+// body.
 func (c serviceClient) cancel(t *testing.T, name, id string, want int) any {
 	t.Helper()
 	got, answer := c.service.Cancel(c.ctx, id)
@@ -64,8 +66,9 @@
 	}
 }
 
-// What users are answered, from before the first lease to after an outage. The
-// user of an accepted job is never told that it does not exist.
+// Checks the answers to users from before the first lease until after an
+// outage. The user of an accepted job must never be told that it does not
+// exist.
 func TestServiceAnswers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(1, nil)
@@ -82,7 +85,8 @@
 		w.spawn(func() { n.Run(ctx) })
 		time.Sleep(3 * time.Second)
 
-		// In order: the first is accepted, and the others meet that.
+		// The order matters: the first job is accepted, and the later submissions
+		// depend on that.
 		user.submit(t, []submissionStep{
 			{"new", "", "", http.StatusCreated},
 			{"again", "", "", http.StatusOK},
@@ -122,8 +126,8 @@
 	})
 }
 
-// All requests about a job whose ID is malformed are answered alike, without the
-// store.
+// All requests with a malformed job ID get the same answer, without a read of
+// the store.
 func TestMalformedJobIDIsNotFound(t *testing.T) {
 	s := Service{New(newWorld(1, nil).settings, newWorld(1, nil).settings.Defaults(), nil, nil, nil, nil)}
 	for name, request := range map[string]func(context.Context, string) (int, any){
@@ -143,7 +147,8 @@
 	}
 }
 
-// A heartbeat that can't be decoded, or comes while there is no lease, is refused.
+// A heartbeat is refused if it can't be decoded, or while the controller holds
+// no lease.
 func TestHeartbeatIsRefused(t *testing.T) {
 	n := New(newWorld(1, nil).settings, newWorld(1, nil).settings.Defaults(), nil, nil, nil, nil)
 	for _, c := range []struct {
@@ -161,7 +166,7 @@
 	}
 }
 
-// A record that can't be decoded leaves the copy of the one before as it is.
+// A record that can't be decoded leaves the previous copy of it unchanged.
 func TestUnreadableRecordIsNotApplied(t *testing.T) {
 	n := New(newWorld(1, nil).settings, newWorld(1, nil).settings.Defaults(), nil, nil, nil, nil)
 	n.apply(storage.JobKey("wk-1"), []byte(`{"spec":{"id":"wk-1","parts":3},"shard":0,"at":1,"done":"0-1"}`), 5)
@@ -172,7 +177,7 @@
 	}
 }
 
-// A heartbeat that arrives after a later one changes nothing.
+// A heartbeat that arrives after a later one has no effect.
 func TestOldHeartbeatChangesNothing(t *testing.T) {
 	n := New(newWorld(1, nil).settings, newWorld(1, nil).settings.Defaults(), nil, nil, nil, nil)
 	now := time.Now()
--- a/internal/coordination/submission.go
+++ b/internal/coordination/submission.go
@@ -14,39 +14,42 @@
 	"reedtrack/internal/storage"
 )
 
-// ErrUnavailable is returned when this controller cannot decide now; the user
-// should retry. It says nothing about the job: a request that failed with it may
-// still have been carried out.
+// ErrUnavailable is returned when this controller can't decide now; the user
+// should retry. It does not tell what happened to the job: a request that
+// failed with it may still have been carried out.
 var ErrUnavailable = errors.New("can't decide now")
 
-// InvalidJobError reports a job that can never run, and the field that says so.
+// InvalidJobError reports a job that can never run, and the field at fault.
 type InvalidJobError struct {
 	Field  string // its name on the wire
 	Reason string
 }
 
-// Error names the field and the reason; users get the text.
+// Error returns the text that users get: the field and the reason.
 func (e *InvalidJobError) Error() string { return e.Field + ": " + e.Reason }
 
 const (
-	// quotaTolerance is by how much, in cores or GPUs, a sum may exceed a quota
-	// and still count as within it: sums of fractions are not exact.
+	// quotaTolerance is the amount, in cores or GPUs, by which a sum may
+	// exceed a quota and still count as within it, since sums of fractions are
+	// inexact.
 	quotaTolerance = 1e-9
-	// specSizeDivisor is the part of a value, one in so many, that a job's
-	// specification may take while completed tasks are kept in the same record.
+	// specSizeDivisor limits a job's specification to this fraction of a value
+	// (one in specSizeDivisor) while completed tasks are kept in the same
+	// record.
 	specSizeDivisor = 4
 )
 
-// Submission is the answer to a submission that was accepted.
+// Submission is the result of a submission that was accepted.
 type Submission struct {
 	Status    protocol.JobStatus
 	Duplicate bool // the job had been accepted before
 }
 
-// Submit accepts a job. It is idempotent: a job that had been accepted before is
-// answered with its status, whatever the request says this time. A job is
-// accepted once the store has its record, and refused with an *InvalidJobError
-// only if the store is known to have neither its record nor its end.
+// Submit accepts a job. It is idempotent: for a job that had been accepted
+// before, it returns the job's status, whatever the request contains. A job is
+// accepted once the store has its record, and rejected with an
+// *InvalidJobError only if the store is known to have neither its record nor
+// its end record.
 func (n *Node) Submit(ctx context.Context, j *protocol.Job) (Submission, error) {
 	n.mu.Lock()
 	now := n.now()
@@ -56,7 +59,7 @@
 	n.mu.Unlock()
 	switch {
 	case ended:
-		// Ends are final: this answer holds without a lease too.
+		// End records are final, so this answer holds without a lease too.
 		return Submission{endedJobStatus(j.ID, end), true}, nil
 	case !canDecide:
 		return Submission{}, ErrUnavailable
@@ -74,7 +77,8 @@
 }
 
 // handleDuplicate answers a submission of a job that the store has shown to be
-// accepted. If it can't be found now, that does not mean that it was not.
+// accepted. If the job can't be found now, that does not mean that it was
+// never accepted.
 func (n *Node) handleDuplicate(ctx context.Context, id string) (Submission, error) {
 	status, err := n.JobStatus(ctx, id)
 	if errors.Is(err, ErrJobNotFound) {
@@ -83,9 +87,9 @@
 	return Submission{status, true}, err
 }
 
-// rejectUnlessAccepted refuses a job that can never run, unless it was accepted: an accepted
-// job is never refused, even if the catalog, or what a record may hold, has
-// changed since.
+// rejectUnlessAccepted rejects a job that can never run, unless it was
+// accepted: an accepted job is never rejected, even if the catalog, or the
+// size limit of a record, has changed since.
 func (n *Node) rejectUnlessAccepted(ctx context.Context, id string, invalid error) (Submission, error) {
 	status, err := n.JobStatus(ctx, id)
 	if errors.Is(err, ErrJobNotFound) {
@@ -94,7 +98,8 @@
 	return Submission{status, true}, err
 }
 
-// newJobRecord checks a job and returns the record with which it is accepted.
+// newJobRecord checks a job and returns the record to write when it is
+// accepted.
 func (n *Node) newJobRecord(ctx context.Context, j *protocol.Job, now time.Time) (*storage.Job, error) {
 	shard, err := n.assignShard(j, now)
 	if err != nil {
@@ -109,7 +114,7 @@
 	return record, n.checkRecordSize(record)
 }
 
-// assignShard selects the shard of a job that can run.
+// assignShard checks that a job can run and selects its shard.
 func (n *Node) assignShard(j *protocol.Job, now time.Time) (int, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -120,7 +125,7 @@
 }
 
 // acceptJob writes a new job's record, provided that the store has neither a
-// record nor an end under its ID.
+// record nor an end record under its ID.
 func (n *Node) acceptJob(ctx context.Context, record *storage.Job) (Submission, error) {
 	spec := &record.Spec
 	_, err := n.store.TxnByDeadline(ctx, protocol.Txn{
@@ -141,10 +146,10 @@
 	return Submission{}, ErrUnavailable
 }
 
-// checkRecordSize refuses a job whose record is too large for the store: its
-// write would fail however often it is retried. Machine types that the cloud
-// doesn't have are removed from the record. While completed tasks are kept in
-// the same record, three quarters of it are left for them.
+// checkRecordSize rejects a job whose record is too large for the store, since
+// its write would fail however often it is retried. Machine types that the
+// cloud doesn't have are removed from the record. While completed tasks are
+// kept in the same record, three quarters of it are reserved for them.
 func (n *Node) checkRecordSize(record *storage.Job) error {
 	maxBytes := n.storeLimits().MaxValueBytes()
 	if n.records.CompletionChunksEnabled() {
@@ -160,7 +165,7 @@
 }
 
 // removeUnknownMachineTypes removes machine types that the cloud doesn't have
-// from those that a job allows, unless that leaves none: an empty list allows
+// from those that a job allows, unless none would remain: an empty list allows
 // all.
 func (n *Node) removeUnknownMachineTypes(spec *protocol.Job) {
 	var offered []string
@@ -174,7 +179,8 @@
 	}
 }
 
-// checkCanRun returns why a job can never run, an *InvalidJobError, or nil.
+// checkCanRun returns an *InvalidJobError if a job can never run, otherwise
+// nil.
 func (n *Node) checkCanRun(j *protocol.Job) error {
 	quota, ok := n.teams[j.Team]
 	if !ok {
@@ -185,7 +191,7 @@
 	if len(kinds) == 0 {
 		return &InvalidJobError{"cores", "a task fits no allowed machine type"}
 	}
-	tasks := 1.0 // that have to run at the same time
+	tasks := 1.0 // that have to run concurrently
 	if j.IsService() || j.IsGang() {
 		tasks = float64(j.Tasks)
 	}
--- a/internal/coordination/task_attempt.go
+++ b/internal/coordination/task_attempt.go
@@ -26,28 +26,28 @@
 //
 // Its life cycle, with the function that makes each transition:
 //
-//	placed      place: the task has been given to a machine, which does not know
-//	            it yet
-//	start sent  startOrders, or buildMessage for a direct message: it may be on
+//	placed      place: the task has been assigned to a machine, which does not
+//	            know it yet
+//	start sent  startCommands, or buildMessage for a direct message: it may be on
 //	            the machine from now on
 //	reported    updateAttempt: a heartbeat lists it; status says whether it is
 //	            starting or running. An attempt that an earlier holder placed
 //	            begins here, see adoptAttempt.
-//	dropped     dropAttempt: it is certainly not on the machine (any more), and
-//	            the task is pending again unless it completed
+//	dropped     dropAttempt: it is certainly not, or no longer, on the machine,
+//	            and the task is pending again unless it completed
 //
-// start holds which of the first three it is, since a start sent directly may
-// still arrive later: see package dispatch. An attempt is dropped when
+// start tracks the first three of these, since a start sent directly may arrive
+// late: see package dispatch. An attempt is dropped when
 //
 //   - it is reported as exited (updateAttempt),
 //   - a heartbeat that must list it does not (dropAbsentAttempts),
 //   - the worker has begun a new session (dropSentAttempts),
 //   - its machine has expired or was removed (markLost) or left the grant
 //     (removeMachine),
-//   - its start was not sent yet and it is not wanted there any more
+//   - its start was not sent yet and it is no longer needed there
 //     (dropUnsent).
 //
-// stopRequested is independent of all that: an attempt whose start was sent is
+// stopRequested is independent of this: an attempt whose start was sent is
 // told to stop with every answer until it is reported as exited.
 type taskAttempt struct {
 	key           taskKey
@@ -61,20 +61,22 @@
 	adopted       bool      // found running by this holder, placed by an earlier one
 	stopRequested bool      // it is to be stopped
 	gracePeriod   float64   // seconds it is given to save a checkpoint before it is killed
-	stopSentAt    time.Time // when a stop order was last sent; zero: not yet
-	// For the latency record.
+	stopSentAt    time.Time // when a stop command was last sent; zero: not yet
+	// For latency recording.
 	placedAt    time.Time
-	startSentAt time.Time // when the start order was sent
+	startSentAt time.Time // when the start command was sent
 }
 
-// requestStop has the attempt stopped, with so many seconds to save a
-// checkpoint. The order is sent with the next answer, or directly.
+// requestStop requests that the attempt is stopped, with a grace period in
+// seconds to save a checkpoint. The command is sent with the next answer, or
+// directly.
 func (a *taskAttempt) requestStop(gracePeriod float64) {
 	a.stopRequested = true
 	a.gracePeriod = gracePeriod
 }
 
-// secondsRunning returns for how many seconds an attempt has been seen to run.
+// secondsRunning returns for how many seconds an attempt has been known to
+// run.
 func (a *taskAttempt) secondsRunning(now time.Time) float64 {
 	if a.startedAt.IsZero() {
 		return 0
@@ -83,7 +85,8 @@
 }
 
 // isOverrunning reports whether an attempt has run more than twice as long as
-// the job's completed tasks did, of which there have to be a few.
+// the job's completed tasks did on average. At least minMeasured tasks must
+// have completed.
 func (a *taskAttempt) isOverrunning(now time.Time) bool {
 	const (
 		minMeasured  = 3
@@ -97,17 +100,18 @@
 	return now.Sub(a.startedAt).Seconds() > 2*average+extraSeconds
 }
 
-// command returns an order for the attempt without further arguments.
+// command returns a command for the attempt, without further arguments.
 func (a *taskAttempt) command(verb string) protocol.Command {
 	return newCommand(verb, a.key, a.number)
 }
 
-// newCommand returns an order for an attempt of a task.
+// newCommand returns a command for an attempt of a task.
 func newCommand(verb string, key taskKey, attempt uint64) protocol.Command {
 	return protocol.Command{Verb: verb, Task: protocol.FormatTaskName(key.job, key.task), Attempt: attempt}
 }
 
-// place puts a task on a machine; the start order is sent with the next answer.
+// place assigns a task to a machine; the start command is sent with the next
+// answer.
 func (s *shard) place(j *job, task int, m *machine) *taskAttempt {
 	s.attemptCount++
 	attempt := &taskAttempt{
@@ -122,7 +126,7 @@
 }
 
 // adoptAttempt takes over an attempt that an earlier holder of the shard
-// placed, as a heartbeat reports it.
+// placed and that a heartbeat reports.
 func (s *shard) adoptAttempt(j *job, key taskKey, m *machine, reported protocol.TaskStatus, now time.Time) {
 	attempt := &taskAttempt{
 		key:       key,
@@ -151,7 +155,7 @@
 	j.addTaskResources(s.used, 1)
 }
 
-// dropAttempt forgets an attempt that is certainly no longer on its machine.
+// dropAttempt removes an attempt that is certainly no longer on its machine.
 func (s *shard) dropAttempt(a *taskAttempt) {
 	j, m := a.job, a.machine
 	if m.attempts[a.key] != a {
@@ -173,7 +177,7 @@
 	s.releaseQuota(j)
 }
 
-// releaseQuota takes one task of a job off what its team uses.
+// releaseQuota subtracts one task of a job from its team's usage.
 func (s *shard) releaseQuota(j *job) {
 	usage := s.used[j.spec.Team]
 	usage.Cores = subtractAmount(usage.Cores, j.taskResources[placement.Cores])
@@ -181,7 +185,8 @@
 	s.used[j.spec.Team] = usage
 }
 
-// subtractAmount returns a-b. What rounding errors leave of nothing is zero.
+// subtractAmount returns a-b, or zero if that is negative or only a rounding
+// error.
 func subtractAmount(a, b float64) float64 {
 	const roundingError = 1e-6
 	if rest := a - b; rest >= roundingError {
@@ -190,8 +195,8 @@
 	return 0
 }
 
-// dropUnsent drops an attempt whose start was not sent yet: it can't be on the
-// machine. It reports whether that was so.
+// dropUnsent drops an attempt whose start was not sent yet, so that it can't
+// be on the machine. It reports whether that was the case.
 func (s *shard) dropUnsent(a *taskAttempt) bool {
 	if a.start.IsSent() {
 		return false
@@ -200,16 +205,17 @@
 	return true
 }
 
-// dropUnsentAttempts drops what was placed on a machine and not sent yet.
+// dropUnsentAttempts drops the attempts on a machine whose starts were not
+// sent yet.
 func (s *shard) dropUnsentAttempts(m *machine) {
 	for _, attempt := range m.attempts {
 		s.dropUnsent(attempt)
 	}
 }
 
-// dropSentAttempts drops all that was sent to a machine, whose worker has begun
-// a new session: whatever was started before has ended, and what is still on
-// its way there is refused.
+// dropSentAttempts drops all attempts sent to a machine whose worker has begun
+// a new session: those started before have ended, and starts still in flight
+// are refused.
 func (s *shard) dropSentAttempts(m *machine) {
 	for _, attempt := range m.attempts {
 		if attempt.start.IsSent() {
@@ -218,10 +224,11 @@
 	}
 }
 
-// dropAbsentAttempts drops what a heartbeat must list and does not. The worker
-// has one heartbeat in flight at a time: what it does not list now, though an
-// earlier answer carried the start, it has dropped with that answer or
-// forgotten. token is the newest fencing token that the worker has seen.
+// dropAbsentAttempts drops attempts that a heartbeat must list but does not. A
+// worker has one heartbeat in flight at a time. If an earlier answer carried
+// an attempt's start and the worker does not list the attempt now, it has
+// dropped it with that answer or forgotten it. token is the newest fencing
+// token that the worker has seen.
 func (s *shard) dropAbsentAttempts(m *machine, listed map[taskKey]bool, token uint64) {
 	for key, attempt := range m.attempts {
 		if !listed[key] && attempt.start.ConfirmAbsent(token > attempt.directToken, s.guards) {
