--- a/internal/coordination/boot_queue.go
+++ b/internal/coordination/boot_queue.go
@@ -102,7 +102,7 @@
 }
 
 // removeGranted removes granted machines from the booting machines.
-func (l *leadership) removeGranted(machines []machineGranted) {
+func (l *leadership) removeGranted(machines []grantedMachine) {
 	granted := map[string]bool{}
 	for _, machine := range machines {
 		granted[machine.id] = true
--- a/internal/coordination/migration_to_room.go
+++ b/internal/coordination/migration_to_room.go
@@ -226,8 +226,8 @@
 		if count >= wanted {
 			break
 		}
-		if free := m.freeCapacity(); free.Fits(j.need) && j.canPlaceOn(m) {
-			count += free.CountFitting(j.need)
+		if free := m.freeCapacity(); free.Fits(j.taskResources) && j.canPlaceOn(m) {
+			count += free.CountFitting(j.taskResources)
 		}
 	}
 	return min(count, wanted)
@@ -237,8 +237,8 @@
 func (j *job) countFittingTasks(machines []spareCapacity) int {
 	count := 0
 	for _, m := range machines {
-		if m.Free.Fits(j.need) && j.allows(m.Kind.MachineType, m.Kind.Zone, m.Kind.Spot) {
-			count += m.Free.CountFitting(j.need)
+		if m.Free.Fits(j.taskResources) && j.allows(m.Kind.MachineType, m.Kind.Zone, m.Kind.Spot) {
+			count += m.Free.CountFitting(j.taskResources)
 		}
 	}
 	return count
@@ -247,7 +247,7 @@
 // isWithinLimit reports whether one more task of a job fits within its team's limit,
 // given the usage of all teams.
 func (n *Node) isWithinLimit(j *job, usage map[string]storage.Resources) bool {
-	more := storage.Resources{Cores: j.need[placement.Cores], GPUs: j.need[placement.Cards]}
+	more := storage.Resources{Cores: j.taskResources[placement.Cores], GPUs: j.taskResources[placement.Cards]}
 	total, limit := addAmounts(usage[j.spec.Team], more), n.teams[j.spec.Team].limit
 	return isWithin(total.Cores, limit.Cores) && isWithin(total.GPUs, limit.GPUs)
 }
@@ -256,7 +256,7 @@
 // capacity for a task of the job; false if none has.
 func (j *job) mostFreeCores(machines []spareCapacity) (most float64, ok bool) {
 	for _, m := range machines {
-		if m.Free.Fits(j.need) && j.allows(m.Kind.MachineType, m.Kind.Zone, m.Kind.Spot) {
+		if m.Free.Fits(j.taskResources) && j.allows(m.Kind.MachineType, m.Kind.Zone, m.Kind.Spot) {
 			most, ok = max(most, m.Free[placement.Cores]), true
 		}
 	}
--- a/internal/coordination/model_check_test.go
+++ b/internal/coordination/model_check_test.go
@@ -145,7 +145,7 @@
 }
 
 func (x *explorer) addJob(stamp uint64) {
-	x.job = &job{id: "wk-1", revision: stamp, need: placement.Resources{1, 0, 1},
+	x.job = &job{id: "wk-1", revision: stamp, taskResources: placement.Resources{1, 0, 1},
 		spec: protocol.Job{ID: "wk-1", Team: "red", Type: "array", Tasks: 1, Cores: 1}}
 	if x.taskDone {
 		x.job.done.Add(0)
@@ -315,7 +315,7 @@
 	if d.reply == nil {
 		events["arrives "+at] = func() { x.deliver(d) }
 		if !d.timedOut {
-			events["not sent "+at] = func() { x.finishDirect(d, DirectAnswer{Outcome: Unsent}); x.removeMessage(d) }
+			events["not sent "+at] = func() { x.finishDirect(d, DirectAnswer{Outcome: DirectUnsent}); x.removeMessage(d) }
 			events["unanswered "+at] = func() { x.finishDirect(d, DirectAnswer{}); d.timedOut = true }
 		}
 	} else if !d.timedOut {
@@ -369,7 +369,7 @@
 
 func (x *explorer) canPlace(m *machine) bool {
 	j := x.job
-	return !x.cancelled && x.holder.jobs[j.id] == j && !j.unconfirmed && j.pendingTasks() > 0 && j.canPlaceOn(m) && m.freeCapacity().Fits(j.need) &&
+	return !x.cancelled && x.holder.jobs[j.id] == j && !j.unconfirmed && j.pendingTasks() > 0 && j.canPlaceOn(m) && m.freeCapacity().Fits(j.taskResources) &&
 		x.holder.remainingQuota(j, map[string]teamQuota{"red": {limit: storage.Resources{Cores: 1}}}, x.holder.unreportedCapacity()) > 0 && int(x.holder.attemptCount) < x.bounds.attempts
 }
 
@@ -394,7 +394,7 @@
 		x.workers[i].awaitsAnswer = false // 503
 		return
 	}
-	o := &protocol.HeartbeatResponse{FencingToken: s.machineToken(m), Commands: s.buildOrders(m, x.now)}
+	o := &protocol.HeartbeatResponse{FencingToken: s.machineToken(m), Commands: s.buildCommands(m, x.now)}
 	x.workers[i].answer, x.workers[i].answeredAfterCancel = o, x.cancelled
 }
 
@@ -444,9 +444,9 @@
 
 func (x *explorer) deliver(d *modelMessage) {
 	w := x.workers[d.to]
-	a := &DirectAnswer{Outcome: Denied}
+	a := &DirectAnswer{Outcome: DirectRejected}
 	if d.payload.FencingToken >= w.token && d.payload.Session == w.session {
-		a.Outcome = Done
+		a.Outcome = DirectDone
 		w.token = d.payload.FencingToken
 		w.execute(d.payload.Commands, x)
 	}
@@ -579,7 +579,7 @@
 		rep(r)
 	}
 	j := x.job
-	p("J%v%v%d%v%d %d %v", j.unconfirmed, j.ended, j.nextTask, j.retry, x.holder.attemptCount, j.done.Len(), len(j.failedOn))
+	p("J%v%v%d%v%d %d %v", j.unconfirmed, j.ended, j.nextTask, j.retry, x.holder.attemptCount, j.done.Len(), len(j.failedMachines))
 	return b.String()
 }
 
