--- a/internal/coordination/disabled_guards_test.go
+++ b/internal/coordination/disabled_guards_test.go
@@ -50,7 +50,7 @@
 	guardUnderWay:        {tweak: func(n *Node) { n.heartbeatProxy.acknowledgeAlways = true }},
 	guardDelegated:       {tweak: func(n *Node) { n.heartbeatProxy.ignoreDelegated = true }},
 	guardProxyStops:      {out: disabledGuards{proxyStops: true}},
-	guardMemory:          disableGuard(dispatch.WithoutMemory),
+	guardMemory:          disableGuard(dispatch.WithoutDeferredClear),
 	guardStartBeforeStop: disableGuard(dispatch.WithoutStartBeforeStop),
 }
 
--- a/internal/coordination/failure_detection.go
+++ b/internal/coordination/failure_detection.go
@@ -97,7 +97,7 @@
 func (n *Node) stepDownIfIsolated(now time.Time) bool {
 	detector := &n.failureDetector
 	if n.session.own.IsUnanswered(now) {
-		detector.isolation.TickCutOff(now)
+		detector.isolation.TickStoreUnreachable(now)
 		return false
 	}
 	detector.isolation.Tick(now)
--- a/internal/coordination/job.go
+++ b/internal/coordination/job.go
@@ -141,7 +141,7 @@
 func (j *job) addNeed(byTeam map[string]storage.Resources, tasks int) {
 	amount := byTeam[j.spec.Team]
 	amount.Cores += float64(tasks) * j.need[placement.Cores]
-	amount.GPUs += float64(tasks) * j.need[placement.Cards]
+	amount.GPUs += float64(tasks) * j.need[placement.GPUs]
 	byTeam[j.spec.Team] = amount
 }
 
--- a/internal/coordination/migration_to_room.go
+++ b/internal/coordination/migration_to_room.go
@@ -243,7 +243,7 @@
 // isWithinLimit reports whether a team that uses so much may run one more task
 // of a job.
 func (n *Node) isWithinLimit(j *job, usage map[string]storage.Resources) bool {
-	more := storage.Resources{Cores: j.need[placement.Cores], GPUs: j.need[placement.Cards]}
+	more := storage.Resources{Cores: j.need[placement.Cores], GPUs: j.need[placement.GPUs]}
 	total, limit := addAmounts(usage[j.spec.Team], more), n.teams[j.spec.Team].limit
 	return isWithin(total.Cores, limit.Cores) && isWithin(total.GPUs, limit.GPUs)
 }
--- a/internal/coordination/migration_to_room_test.go
+++ b/internal/coordination/migration_to_room_test.go
@@ -72,10 +72,10 @@
 		{"a service", func(w *waitingNode) { w.job.spec.Type = protocol.JobTypeService }, true},
 		{"the machine lacks memory", func(w *waitingNode) { w.job.need[placement.Memory] = 25 }, false},
 		{"the machine lacks cores", func(w *waitingNode) { w.job.need[placement.Cores] = 13 }, false},
-		{"the machine has no card", func(w *waitingNode) { w.job.need[placement.Cards] = 1 }, false},
+		{"the machine has no card", func(w *waitingNode) { w.job.need[placement.GPUs] = 1 }, false},
 		{"the machine has a card", func(w *waitingNode) {
-			w.job.need[placement.Cards] = 1
-			w.status.Shards[0].Room[0].Free[placement.Cards] = 2
+			w.job.need[placement.GPUs] = 1
+			w.status.Shards[0].Room[0].Free[placement.GPUs] = 2
 		}, true},
 		{"its shard has room, and lacks a share", func(w *waitingNode) { w.shard.room = []machineRoom{spotRoom()} }, false},
 		{"its team is at its limit", func(w *waitingNode) { w.shard.used["red"] = storage.Resources{Cores: 12} }, false},
--- a/internal/coordination/model_check_test.go
+++ b/internal/coordination/model_check_test.go
@@ -640,9 +640,9 @@
 	}{
 		"messages lost and late": {exBounds{sent: 2, attempts: 2, ends: 1, late: 1}, dispatch.WithoutBinding, faultNone},
 		"answer lost":            {exBounds{sent: 1, emptyMessages: 1, attempts: 2}, dispatch.WithoutResponseOrder, faultNone},
-		"ended early":            {exBounds{sent: 1, attempts: 2, ends: 1}, dispatch.WithoutMemory, faultNone},
+		"ended early":            {exBounds{sent: 1, attempts: 2, ends: 1}, dispatch.WithoutDeferredClear, faultNone},
 		"cancelled":              {exBounds{sent: 1, attempts: 1, cancel: 1, ends: 1}, dispatch.WithoutStartBeforeStop, faultNone},
-		"stopped":                {exBounds{sent: 2, attempts: 2, stop: 1}, dispatch.WithoutMemory, faultNone},
+		"stopped":                {exBounds{sent: 2, attempts: 2, stop: 1}, dispatch.WithoutDeferredClear, faultNone},
 		"failover":               {exBounds{sent: 2, attempts: 2, failovers: 1, ends: 1}, 0, faultTrusting},
 		"machine released":       {exBounds{sent: 1, attempts: 2, releases: 1, ends: 1}, 0, faultHastyRelease},
 		"proxy answers":          {exBounds{sent: 1, attempts: 2, cancel: 1, proxyAnswers: 2}, 0, faultHastyProxy},
--- a/internal/coordination/placement.go
+++ b/internal/coordination/placement.go
@@ -93,7 +93,7 @@
 		}
 	}
 	limit(quota.limit.Cores, share.Cores, used.Cores+unreported.Cores, j.need[placement.Cores])
-	limit(quota.limit.GPUs, share.GPUs, used.GPUs+unreported.GPUs, j.need[placement.Cards])
+	limit(quota.limit.GPUs, share.GPUs, used.GPUs+unreported.GPUs, j.need[placement.GPUs])
 	return max(tasks, 0)
 }
 
@@ -191,7 +191,7 @@
 		smallest := s.smallestTask[j.spec.Team]
 		s.smallestTask[j.spec.Team] = storage.Resources{
 			Cores: smaller(smallest.Cores, j.need[placement.Cores]),
-			GPUs:  smaller(smallest.GPUs, j.need[placement.Cards]),
+			GPUs:  smaller(smallest.GPUs, j.need[placement.GPUs]),
 		}
 	}
 	for _, j := range s.queue {
--- a/internal/coordination/preemption.go
+++ b/internal/coordination/preemption.go
@@ -218,5 +218,5 @@
 // guarantee with one task of the job less.
 func (p *planInput) isBeyondGuarantee(j *job) bool {
 	usage, guarantee := p.usage[j.spec.Team], p.teams[j.spec.Team].guarantee
-	return usage.Cores-j.need[placement.Cores] >= guarantee.Cores && usage.GPUs-j.need[placement.Cards] >= guarantee.GPUs
+	return usage.Cores-j.need[placement.Cores] >= guarantee.Cores && usage.GPUs-j.need[placement.GPUs] >= guarantee.GPUs
 }
--- a/internal/coordination/shard.go
+++ b/internal/coordination/shard.go
@@ -163,7 +163,7 @@
 			continue
 		}
 		total.Cores += max(0, m.size[placement.Cores]-m.used[placement.Cores])
-		total.GPUs += max(0, m.size[placement.Cards]-m.used[placement.Cards])
+		total.GPUs += max(0, m.size[placement.GPUs]-m.used[placement.GPUs])
 	}
 	return total
 }
--- a/internal/coordination/shard_room.go
+++ b/internal/coordination/shard_room.go
@@ -38,7 +38,7 @@
 // hasMoreRoom compares cards first, since fewer machines have them.
 func hasMoreRoom(a, b placement.Resources) bool {
 	return cmp.Or(
-		cmp.Compare(a[placement.Cards], b[placement.Cards]),
+		cmp.Compare(a[placement.GPUs], b[placement.GPUs]),
 		cmp.Compare(a[placement.Cores], b[placement.Cores]),
 		cmp.Compare(a[placement.Memory], b[placement.Memory]),
 	) > 0
--- a/internal/coordination/task_attempt.go
+++ b/internal/coordination/task_attempt.go
@@ -177,7 +177,7 @@
 func (s *shard) releaseQuota(j *job) {
 	usage := s.used[j.spec.Team]
 	usage.Cores = subtractAmount(usage.Cores, j.need[placement.Cores])
-	usage.GPUs = subtractAmount(usage.GPUs, j.need[placement.Cards])
+	usage.GPUs = subtractAmount(usage.GPUs, j.need[placement.GPUs])
 	s.used[j.spec.Team] = usage
 }
 
--- a/internal/dispatch/exchange.go
+++ b/internal/dispatch/exchange.go
@@ -133,7 +133,7 @@
 // CanClear reports whether the worker may be told to forget an ended attempt.
 func (x *Exchange[K]) CanClear(task K, attempt uint64, disabled DisabledGuards) bool {
 	s, found := x.unanswered[task]
-	return !found || s.attempt != attempt || disabled.has(WithoutMemory)
+	return !found || s.attempt != attempt || disabled.has(WithoutDeferredClear)
 }
 
 // StartMayArrive reports whether a copy of an earlier attempt's start may still
--- a/internal/dispatch/exchange_test.go
+++ b/internal/dispatch/exchange_test.go
@@ -10,7 +10,7 @@
 // start is one that its holder takes for placed.
 func TestNoStartArrivesUnexpectedly(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		if task := playRandomEvents(t, 0); task != "" {
+		if task := runRandomEvents(t, 0); task != "" {
 			t.Fatalf("task %s may start unexpectedly", task)
 		}
 	})
@@ -19,11 +19,11 @@
 // Without either of the guards the model finds a start that its holder does not
 // expect.
 func TestModelFindsMissingGuards(t *testing.T) {
-	for name, disabled := range map[string]DisabledGuards{"binding": WithoutBinding, "memory": WithoutMemory} {
+	for name, disabled := range map[string]DisabledGuards{"binding": WithoutBinding, "memory": WithoutDeferredClear} {
 		t.Run(name, func(t *testing.T) {
 			for seed := range 20000 {
 				task := ""
-				rapid.Custom(func(t *rapid.T) bool { task = playRandomEvents(t, disabled); return true }).Example(seed)
+				rapid.Custom(func(t *rapid.T) bool { task = runRandomEvents(t, disabled); return true }).Example(seed)
 				if task != "" {
 					return
 				}
--- a/internal/dispatch/guards.go
+++ b/internal/dispatch/guards.go
@@ -7,7 +7,7 @@
 // Safeguards that a test can leave out.
 const (
 	WithoutBinding         DisabledGuards = 1 << iota // a start without a response binds its task
-	WithoutMemory                                     // an attempt is not cleared while a copy of its start may arrive
+	WithoutDeferredClear                              // an attempt is not cleared while a copy of its start may arrive
 	WithoutStartBeforeStop                            // a stop of an attempt that the worker may not know goes out after its start
 	WithoutResponseOrder                              // a response to a direct message doesn't tell what the response to a heartbeat has done
 )
--- a/internal/dispatch/model_test.go
+++ b/internal/dispatch/model_test.go
@@ -233,9 +233,9 @@
 	return ""
 }
 
-// playRandomEvents plays random late, lost and repeated messages. It returns the
+// runRandomEvents plays random late, lost and repeated messages. It returns the
 // first unexpected task, or "".
-func playRandomEvents(t *rapid.T, disabled DisabledGuards) string {
+func runRandomEvents(t *rapid.T, disabled DisabledGuards) string {
 	m := newModel(disabled)
 	tasks := rapid.SampledFrom([]string{"a", "b"})
 	events := map[string]func(){
--- a/internal/failuredetector/isolation.go
+++ b/internal/failuredetector/isolation.go
@@ -14,14 +14,14 @@
 // until it receives a heartbeat, and hands over machines that it has never heard
 // only once in a while.
 type IsolationDetector struct {
-	timing     Timing
-	silence    time.Duration // without a heartbeat from any worker, while this process ran
-	lastTick   time.Time
-	backoff    time.Duration // the least time from the next step-down to the one after it
-	unverified bool          // it has stepped down, and received no heartbeat since
-	relayed    bool          // the silence began anew with a relayed heartbeat
-	cutOff     bool          // the key-value store did not answer at the last tick
-	restarted  bool          // the silence began anew when the key-value store answered again
+	timing           Timing
+	silence          time.Duration // without a heartbeat from any worker, while this process ran
+	lastTick         time.Time
+	backoff          time.Duration // the least time from the next step-down to the one after it
+	stillIsolated    bool          // it has stepped down, and received no heartbeat since
+	resetByRelay     bool          // the silence began anew with a relayed heartbeat
+	storeUnreachable bool          // the key-value store did not answer at the last tick
+	resetByStore     bool          // the silence began anew when the key-value store answered again
 
 	nextStepDownAt time.Time // no step-down before this
 	nextHandoverAt time.Time // no step-down before this on account of machines that were never heard
@@ -49,7 +49,7 @@
 
 // RecordHeartbeat records that a heartbeat arrived, of whatever worker.
 func (d *IsolationDetector) RecordHeartbeat() {
-	d.silence, d.backoff, d.unverified, d.relayed, d.restarted = 0, minStepDownBackoff, false, false, false
+	d.silence, d.backoff, d.stillIsolated, d.resetByRelay, d.resetByStore = 0, minStepDownBackoff, false, false, false
 }
 
 // RecordRelayedHeartbeat records that another controller relayed a heartbeat. That
@@ -57,8 +57,8 @@
 // back only with its next heartbeat. So the silence begins anew, once: a controller
 // that is isolated steps down all the same.
 func (d *IsolationDetector) RecordRelayedHeartbeat() {
-	if !d.relayed {
-		d.silence, d.relayed = 0, true
+	if !d.resetByRelay {
+		d.silence, d.resetByRelay = 0, true
 	}
 }
 
@@ -66,20 +66,22 @@
 // heartbeats. After TickCutOff the silence begins anew, once until a heartbeat is
 // received: workers that gave this controller up meanwhile are on their way back.
 func (d *IsolationDetector) Tick(now time.Time) {
-	if d.cutOff && !d.restarted {
-		d.silence, d.restarted = 0, true
+	if d.storeUnreachable && !d.resetByStore {
+		d.silence, d.resetByStore = 0, true
 	}
-	d.cutOff = false
+	d.storeUnreachable = false
 	if !d.lastTick.IsZero() {
 		d.silence += min(max(0, now.Sub(d.lastTick)), maxTick)
 	}
 	d.lastTick = now
 }
 
-// TickCutOff records that time has passed in which the key-value store did not answer
+// TickStoreUnreachable records that time has passed in which the key-value store did not answer
 // this process either. What cuts it off from both is no sign that workers reach other
 // controllers, and without the store nothing can be handed over to these.
-func (d *IsolationDetector) TickCutOff(now time.Time) { d.cutOff, d.lastTick = true, now }
+func (d *IsolationDetector) TickStoreUnreachable(now time.Time) {
+	d.storeUnreachable, d.lastTick = true, now
+}
 
 // Pause begins the silence anew. It is to be called while the controller may not
 // act: workers are then told to turn to others.
@@ -92,7 +94,7 @@
 // heartbeat. expected is how many machines should report here: those that are not
 // delegated to a heartbeat proxy, which hears them instead.
 func (d *IsolationDetector) MayBeCoincidence(expected int) bool {
-	return expected > 0 && expected < minMassLoss && d.silence <= d.timing.FewSilentAfter()
+	return expected > 0 && expected < minCorrelatedFailure && d.silence <= d.timing.FewSilentAfter()
 }
 
 // ShouldStepDown reports whether the controller should let others have its
@@ -113,12 +115,12 @@
 		return false
 	}
 	switch {
-	case heard >= minMassLoss:
+	case heard >= minCorrelatedFailure:
 		return true
-	case d.unverified && heard+unheard >= minMassLoss:
+	case d.stillIsolated && heard+unheard >= minCorrelatedFailure:
 		return true
 	default:
-		return overdue >= minMassLoss && !now.Before(d.nextHandoverAt)
+		return overdue >= minCorrelatedFailure && !now.Before(d.nextHandoverAt)
 	}
 }
 
@@ -130,5 +132,5 @@
 	}
 	d.nextStepDownAt = now.Add(d.backoff)
 	d.backoff = min(2*d.backoff, maxStepDownBackoff)
-	d.silence, d.unverified = 0, true
+	d.silence, d.stillIsolated = 0, true
 }
--- a/internal/failuredetector/isolation_store_test.go
+++ b/internal/failuredetector/isolation_store_test.go
@@ -39,7 +39,7 @@
 		}
 		isCutOff := at-answered > modelStoreTimeout && !m.ignoreStore
 		if isCutOff {
-			d.TickCutOff(begin.Add(at))
+			d.TickStoreUnreachable(begin.Add(at))
 		} else {
 			d.Tick(begin.Add(at))
 		}
@@ -106,7 +106,7 @@
 	for range 40 {
 		d.run(modelTick)
 		d.now = d.now.Add(4 * modelTick)
-		d.TickCutOff(d.now)
+		d.TickStoreUnreachable(d.now)
 	}
 	if !d.ShouldStepDown(100, 0, 0, d.now) {
 		t.Errorf("keeps its machines, silence %v", d.Silence())
--- a/internal/failuredetector/isolation_test.go
+++ b/internal/failuredetector/isolation_test.go
@@ -36,17 +36,17 @@
 		t.Error("steps down between two heartbeats of one worker")
 	}
 	d.run(testTiming.HeartbeatInterval)
-	if !d.ShouldStepDown(minMassLoss, 0, 0, d.now) {
+	if !d.ShouldStepDown(minCorrelatedFailure, 0, 0, d.now) {
 		t.Error("keeps machines that it does not hear any more")
 	}
-	if d.ShouldStepDown(minMassLoss-1, 100, minMassLoss-1, d.now) || d.ShouldStepDown(0, 100, 0, d.now) {
+	if d.ShouldStepDown(minCorrelatedFailure-1, 100, minCorrelatedFailure-1, d.now) || d.ShouldStepDown(0, 100, 0, d.now) {
 		t.Error("steps down for machines that it has not heard yet")
 	}
 	d.RecordStepDown(true, d.now)
 	if d.run(minStepDownBackoff / 2); d.ShouldStepDown(100, 0, 0, d.now) {
 		t.Error("steps down again at once")
 	}
-	if d.run(minStepDownBackoff); !d.ShouldStepDown(0, minMassLoss, 0, d.now) {
+	if d.run(minStepDownBackoff); !d.ShouldStepDown(0, minCorrelatedFailure, 0, d.now) {
 		t.Error("keeps machines though it is still isolated")
 	}
 	d.RecordStepDown(true, d.now)
@@ -79,7 +79,7 @@
 // first had: it hands that over once, but not again soon.
 func TestUnheardMachinesAreHandedOverOnce(t *testing.T) {
 	d := newTestDetector()
-	if d.run(testTiming.SuspectAfter() + time.Second); !d.ShouldStepDown(0, minMassLoss, minMassLoss, d.now) {
+	if d.run(testTiming.SuspectAfter() + time.Second); !d.ShouldStepDown(0, minCorrelatedFailure, minCorrelatedFailure, d.now) {
 		t.Error("keeps what it never heard")
 	}
 	d.RecordStepDown(false, d.now)
@@ -117,7 +117,7 @@
 	d := newTestDetector()
 	d.RecordHeartbeat()
 	d.run(testTiming.UnreachableAfter())
-	for expected, want := range map[int]bool{0: false, 1: true, minMassLoss - 1: true, minMassLoss: false} {
+	for expected, want := range map[int]bool{0: false, 1: true, minCorrelatedFailure - 1: true, minCorrelatedFailure: false} {
 		if d.MayBeCoincidence(expected) != want {
 			t.Errorf("%d machines expected: coincidence %v", expected, !want)
 		}
--- a/internal/failuredetector/model_test.go
+++ b/internal/failuredetector/model_test.go
@@ -76,7 +76,7 @@
 	switch kind {
 	case singleFailures: // up to a third, one by one
 		for i := range f.failsAt {
-			if rnd.IntN(3) == 0 && i%minMassLoss != 0 {
+			if rnd.IntN(3) == 0 && i%minCorrelatedFailure != 0 {
 				f.failsAt[i] = from + time.Duration(rnd.IntN(20))*time.Second
 			}
 		}
--- a/internal/failuredetector/view.go
+++ b/internal/failuredetector/view.go
@@ -32,13 +32,13 @@
 }
 
 const (
-	// massLossRatio is the part of the machines of a zone, or of all, that must
+	// correlatedFailureRatio is the part of the machines of a zone, or of all, that must
 	// be silent to count as a common loss. Below 1, since a few heartbeats may
 	// have arrived just before the loss.
-	massLossRatio = 0.85
-	// minMassLoss is the number of machines below which silence is not taken for
+	correlatedFailureRatio = 0.85
+	// minCorrelatedFailure is the number of machines below which silence is not taken for
 	// a common loss: so few may well fail independently.
-	minMassLoss = 4
+	minCorrelatedFailure = 4
 )
 
 // silenceCount counts machines, and those of them that are silent.
@@ -51,9 +51,9 @@
 	}
 }
 
-// isMassLoss reports whether so many are silent that they have a common cause.
-func (c silenceCount) isMassLoss() bool {
-	return c.total >= minMassLoss && float64(c.silent) >= massLossRatio*float64(c.total)
+// isCorrelatedFailure reports whether so many are silent that they have a common cause.
+func (c silenceCount) isCorrelatedFailure() bool {
+	return c.total >= minCorrelatedFailure && float64(c.silent) >= correlatedFailureRatio*float64(c.total)
 }
 
 // isMinority reports whether less than half are silent.
@@ -70,7 +70,7 @@
 		byZone[m.Zone].add(silent)
 		all.add(silent)
 	}
-	if all.isMassLoss() {
+	if all.isCorrelatedFailure() {
 		v.Inconclusive = true
 		return v
 	}
@@ -78,7 +78,7 @@
 		others := silenceCount{silent: all.silent - count.silent, total: all.total - count.total}
 		// While the others fall silent too, the view is on its way to being
 		// inconclusive, and the zone is not the cause.
-		v.UnreachableZones[zone] = count.isMassLoss() && others.isMinority()
+		v.UnreachableZones[zone] = count.isCorrelatedFailure() && others.isMinority()
 	}
 	for i, m := range machines {
 		v.States[i] = t.stateOf(m, v.UnreachableZones[m.Zone])
--- a/internal/failuredetector/view_test.go
+++ b/internal/failuredetector/view_test.go
@@ -13,7 +13,7 @@
 	for seed := range uint64(300) {
 		rnd := rand.New(rand.NewPCG(seed, 2))
 		zones := 1 + rnd.IntN(3)
-		f := newFleet(seed, zones, zones*(minMassLoss+rnd.IntN(60)))
+		f := newFleet(seed, zones, zones*(minCorrelatedFailure+rnd.IntN(60)))
 		from := 20 * time.Second
 		kind := failure(rnd.IntN(int(failureKinds)))
 		failedZone := f.inject(kind, from, rnd)
--- a/internal/heartbeatproxy/delegation_test.go
+++ b/internal/heartbeatproxy/delegation_test.go
@@ -15,7 +15,7 @@
 // whenever the delegation is activated, deactivated and activated again.
 func TestDelegatedMachinesAreNeverTakenForLost(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		if violation := playRandomEvents(t, omissions{}); violation != "" {
+		if violation := runRandomEvents(t, omissions{}); violation != "" {
 			t.Fatal(violation)
 		}
 	})
@@ -34,7 +34,7 @@
 		t.Run(name, func(t *testing.T) {
 			for seed := range 100000 {
 				violation := ""
-				rapid.Custom(func(t *rapid.T) bool { violation = playRandomEvents(t, omitted); return true }).Example(seed)
+				rapid.Custom(func(t *rapid.T) bool { violation = runRandomEvents(t, omitted); return true }).Example(seed)
 				if violation != "" {
 					t.Log(violation)
 					return
@@ -61,10 +61,10 @@
 		"fenced starts": {omissions{fencedStarts: true}, arrivesUnlisted},
 	} {
 		t.Run(name, func(t *testing.T) {
-			if violation := playEvents(omissions{}, c.events); violation != "" {
+			if violation := runEvents(omissions{}, c.events); violation != "" {
 				t.Error("with the fence:", violation)
 			}
-			if playEvents(c.omitted, c.events) == "" {
+			if runEvents(c.omitted, c.events) == "" {
 				t.Error("no violation found without the fence")
 			}
 		})
@@ -80,10 +80,10 @@
 		[]string{"activate", "send record", "newest write executed"}, delegate,
 		[]string{"tick", "write executed", "holder copy updated", "tick", "tick", "heartbeat, response"},
 		slices.Repeat([]string{"tick"}, modelWorkerLease))
-	if violation := playEvents(omissions{}, events); violation != "" {
+	if violation := runEvents(omissions{}, events); violation != "" {
 		t.Error("with the preconditions:", violation)
 	}
-	if playEvents(omissions{copyConditions: true}, events) == "" {
+	if runEvents(omissions{copyConditions: true}, events) == "" {
 		t.Error("no violation found without the preconditions")
 	}
 }
--- a/internal/heartbeatproxy/model_test.go
+++ b/internal/heartbeatproxy/model_test.go
@@ -472,8 +472,8 @@
 	}
 }
 
-// playEvents plays events in the given order, and returns the first violation, or "".
-func playEvents(omitted omissions, names []string) string {
+// runEvents plays events in the given order, and returns the first violation, or "".
+func runEvents(omitted omissions, names []string) string {
 	w := newProxyModel(omitted)
 	events := w.events(func(int) int { return 0 })
 	for _, name := range names {
@@ -485,8 +485,8 @@
 	return ""
 }
 
-// playRandomEvents plays random events, and returns the first violation, or "".
-func playRandomEvents(t *rapid.T, omitted omissions) string {
+// runRandomEvents plays random events, and returns the first violation, or "".
+func runRandomEvents(t *rapid.T, omitted omissions) string {
 	w := newProxyModel(omitted)
 	events := w.events(func(count int) int { return rapid.IntRange(0, count-1).Draw(t, "write") })
 	// Events that are listed several times are drawn as much more often.
--- a/internal/placement/resources.go
+++ b/internal/placement/resources.go
@@ -2,16 +2,16 @@
 
 import "math"
 
-// The kinds of resources, as indices of [Resources].
+// The kindCount of resources, as indices of [Resources].
 const (
-	Cores  = iota
-	Cards  // accelerators
-	Memory // GB
-	kinds  // their number
+	Cores     = iota
+	GPUs      // accelerators
+	Memory    // GB
+	kindCount // their number
 )
 
 // Resources is an amount of each kind of resource.
-type Resources [kinds]float64
+type Resources [kindCount]float64
 
 // epsilon absorbs the rounding of decimal amounts.
 const epsilon = 1e-9
--- a/internal/placement/victims.go
+++ b/internal/placement/victims.go
@@ -21,7 +21,7 @@
 		return nil, 0
 	}
 	for {
-		i := mostExpensiveToSpare(room, need, victims, spared)
+		i := mostExpensiveUnneeded(room, need, victims, spared)
 		if i < 0 {
 			break
 		}
@@ -39,9 +39,9 @@
 	return selected, cost
 }
 
-// mostExpensiveToSpare returns the most expensive of the victims that are not needed;
+// mostExpensiveUnneeded returns the most expensive of the victims that are not needed;
 // -1 if all are.
-func mostExpensiveToSpare(room, need Resources, victims []Victim, spared []bool) int {
+func mostExpensiveUnneeded(room, need Resources, victims []Victim, spared []bool) int {
 	chosen := -1
 	for i, v := range victims {
 		if spared[i] || !room.Sub(v.Resources).Fits(need) {
--- a/internal/policy/deferralheap.go
+++ b/internal/policy/deferralheap.go
@@ -7,7 +7,7 @@
 	jobs     []int
 }
 
-func (h *deferralHeap) before(a, b int) bool {
+func (h *deferralHeap) less(a, b int) bool {
 	return h.snapshot.compareDeferral(h.jobs[a], h.jobs[b]) < 0
 }
 
@@ -17,7 +17,7 @@
 	h.jobs = append(h.jobs, job)
 	for child := len(h.jobs) - 1; child > 0; {
 		parent := (child - 1) / 2
-		if !h.before(child, parent) {
+		if !h.less(child, parent) {
 			return
 		}
 		h.swap(child, parent)
@@ -32,7 +32,7 @@
 	for parent := 0; ; {
 		first := parent
 		for child := 2*parent + 1; child <= 2*parent+2 && child < last; child++ {
-			if h.before(child, first) {
+			if h.less(child, first) {
 				first = child
 			}
 		}
--- a/internal/policy/slack.go
+++ b/internal/policy/slack.go
@@ -26,7 +26,7 @@
 			if slack.least(front, wanted) < work {
 				next = front
 			} else {
-				slack.spend(front, wanted, work)
+				slack.subtract(front, wanted, work)
 			}
 			taken[next] = true
 			slack.remove(next)
--- a/internal/policy/slacktree.go
+++ b/internal/policy/slacktree.go
@@ -34,8 +34,8 @@
 	return t.visit(1, 0, t.leaves, slackChange{from: from, to: to})
 }
 
-// spend reduces the slack of the positions in [from, to).
-func (t *slackTree) spend(from, to int, work float64) {
+// subtract reduces the slack of the positions in [from, to).
+func (t *slackTree) subtract(from, to int, work float64) {
 	t.visit(1, 0, t.leaves, slackChange{from: from, to: to, work: work, apply: true})
 }
 
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -38,7 +38,7 @@
 // share that no machine can use would idle beside room in another shard.
 func Divide(quota storage.Resources, demands []Demand) []storage.Resources {
 	limit := vectorOf(quota)
-	var limited [resources]bool
+	var limited [resourceCount]bool
 	for r := range limited {
 		limited[r] = limit[r] > 0
 	}
@@ -65,14 +65,14 @@
 }
 
 // divide assigns what there is of the limited resources to shares.
-func divide(limited [resources]bool, limit vector, shares []share) {
+func divide(limited [resourceCount]bool, limit vector, shares []share) {
 	var requested vector
 	for i := range shares {
 		for r := range requested {
 			requested[r] += shares[i].requested[r]
 		}
 	}
-	var scarce [resources]bool
+	var scarce [resourceCount]bool
 	for r := range scarce {
 		scarce[r] = limited[r] && requested[r] > limit[r]+epsilon
 	}
@@ -84,7 +84,7 @@
 
 // assignRemainder gives what rounding has left to shares that lack a task, one task at
 // a time, those first that have the smallest part of what they request.
-func assignRemainder(shares []share, scarce [resources]bool, limit vector) {
+func assignRemainder(shares []share, scarce [resourceCount]bool, limit vector) {
 	left := limit
 	for i := range shares {
 		for r := range left {
@@ -92,7 +92,7 @@
 		}
 	}
 	for {
-		next := neediest(shares, scarce, left)
+		next := leastServed(shares, scarce, left)
 		if next == nil {
 			return
 		}
@@ -105,9 +105,9 @@
 	}
 }
 
-// neediest returns the share that has the smallest part of what it requests, of those
+// leastServed returns the share that has the smallest part of what it requests, of those
 // that one more task can be given to; nil if there is none.
-func neediest(shares []share, scarce [resources]bool, left vector) *share {
+func leastServed(shares []share, scarce [resourceCount]bool, left vector) *share {
 	var next *share
 	smallest := 0.0
 	for i := range shares {
--- a/internal/quota/share.go
+++ b/internal/quota/share.go
@@ -14,7 +14,7 @@
 
 // assignProportional assigns a share in proportion to the requests, rounded down to
 // whole tasks above what is used.
-func (s *share) assignProportional(scarce [resources]bool, limit, requested vector) {
+func (s *share) assignProportional(scarce [resourceCount]bool, limit, requested vector) {
 	wholeTasks := math.Inf(1)
 	for r := range s.assigned {
 		s.assigned[r] = s.requested[r]
@@ -38,7 +38,7 @@
 
 // servedFraction returns the part of its request that a share has, in the scarce
 // resource in which that is the smallest.
-func (s *share) servedFraction(scarce [resources]bool) float64 {
+func (s *share) servedFraction(scarce [resourceCount]bool) float64 {
 	fraction := 1.0
 	for r := range s.requested {
 		if scarce[r] && s.requested[r] > 0 {
@@ -50,7 +50,7 @@
 
 // canAddTask reports whether a share requests another task, and enough of every scarce
 // resource is left for it.
-func (s *share) canAddTask(scarce [resources]bool, left vector) bool {
+func (s *share) canAddTask(scarce [resourceCount]bool, left vector) bool {
 	needsScarce := false
 	for r := range left {
 		if !scarce[r] || s.taskSize[r] == 0 {
--- a/internal/quota/vector.go
+++ b/internal/quota/vector.go
@@ -5,19 +5,19 @@
 // epsilon absorbs the rounding of sums of decimal amounts.
 const epsilon = 1e-9
 
-// The resources that a quota limits.
+// The resourceCount that a quota limits.
 const (
 	cores = iota
-	cards
-	resources // their number
+	gpus
+	resourceCount // their number
 )
 
 // vector is an amount of each resource.
-type vector [resources]float64
+type vector [resourceCount]float64
 
-func vectorOf(a storage.Resources) vector { return vector{cores: a.Cores, cards: a.GPUs} }
+func vectorOf(a storage.Resources) vector { return vector{cores: a.Cores, gpus: a.GPUs} }
 
-func (v vector) amount() storage.Resources { return storage.Resources{Cores: v[cores], GPUs: v[cards]} }
+func (v vector) amount() storage.Resources { return storage.Resources{Cores: v[cores], GPUs: v[gpus]} }
 
 // plus returns v + other.
 func (v vector) plus(other vector) vector {
