--- a/internal/clusterstate/batch.go
+++ b/internal/clusterstate/batch.go
@@ -9,10 +9,10 @@
 	"reedtrack/internal/storage"
 )
 
-// Apply applies changes of the store's live records and returns, in their
-// order, those that the controller may have to react to. Grants and completed
-// tasks, which are composed of several records, come last, so that a transaction
-// of several records shows whole or not at all.
+// Apply applies changes of the store's live records and returns, in order, those to which
+// the controller may have to react. Grants and completed tasks, which are composed of
+// several records, are updated last, so that a transaction of several records becomes
+// visible atomically.
 func (r *Records) Apply(changes []protocol.Change) []Change {
 	b := batch{records: r, grants: map[int]bool{}, jobs: map[string]bool{}}
 	for _, change := range changes {
@@ -38,16 +38,16 @@
 type batch struct {
 	records  *Records
 	reported []Change
-	grants   map[int]bool    // shards whose grants have to be composed anew
-	jobs     map[string]bool // jobs whose completed tasks have to be counted anew
+	grants   map[int]bool    // shards whose grants must be recomposed
+	jobs     map[string]bool // jobs whose completed tasks must be recounted
 }
 
-// report adds a change to those that the controller is told.
+// report adds a change to the result of Apply.
 func (b *batch) report(change Change) {
 	b.reported = append(b.reported, change)
 }
 
-// applyRecord applies one record's change; nil data: the record is gone.
+// applyRecord applies the change of one record; nil data means that it was deleted.
 func (b *batch) applyRecord(path string, data []byte, revision uint64) error {
 	r := b.records
 	if name, ok := storage.ParseControllerKey(path); ok {
@@ -122,7 +122,7 @@
 	return nil
 }
 
-// storeSingle decodes a record of which there is one; nil data clears it.
+// storeSingle decodes a singleton record; nil data clears it.
 func storeSingle[T any](target *Entry[T], data []byte, revision uint64) error {
 	if data == nil {
 		*target = Entry[T]{}
@@ -136,7 +136,7 @@
 	return nil
 }
 
-// updateGrant composes a shard's grant after a change of any of its records.
+// updateGrant recomposes a shard's grant after a change of any of its records.
 func (b *batch) updateGrant(i int) {
 	r := b.records
 	previous := r.Grants[i]
@@ -161,7 +161,7 @@
 	b.report(GrantChange{i, grant, head.Revision != previous.Revision})
 }
 
-// updateJob applies a change of a job's record; nil data: the job has ended.
+// updateJob applies a change of a job's record; nil data means that the job has ended.
 func (b *batch) updateJob(id string, data []byte, revision uint64) error {
 	r := b.records
 	delete(r.UnreadableJobs, id)
@@ -191,8 +191,8 @@
 	return nil
 }
 
-// updateCompletion counts a job's completed tasks after a change of its
-// completion chunks.
+// updateCompletion recounts a job's completed tasks after a change of its completion
+// chunks.
 func (b *batch) updateCompletion(id string) {
 	jr := b.records.Jobs[id]
 	if jr == nil {
@@ -206,8 +206,8 @@
 	jr.DoneCount = done.Len()
 }
 
-// updateSchemaVersion applies a change of the schema version. One that can't be
-// decoded is taken to be later than those that this version supports.
+// updateSchemaVersion applies a change of the schema version. A version that can't be
+// decoded is treated as newer than the supported ones.
 func (b *batch) updateSchemaVersion(data []byte, revision uint64) error {
 	r := b.records
 	wasEnabled := r.SplitGrantsEnabled()
@@ -248,8 +248,8 @@
 	return err
 }
 
-// applyCatalog replaces the catalog of machine types. The last one stays when
-// its record is gone.
+// applyCatalog replaces the catalog of machine types. The last catalog is kept when its
+// record is deleted.
 func (r *Records) applyCatalog(data []byte) error {
 	if data == nil {
 		return nil
@@ -262,8 +262,7 @@
 	return nil
 }
 
-// applyCatalogChunk replaces the catalog once all its chunks are of one
-// revision.
+// applyCatalogChunk replaces the catalog once all its chunks have the same revision.
 func (r *Records) applyCatalogChunk(k int, data []byte, revision uint64) error {
 	if err := storeEntry(r.catalogChunks, k, data, revision); err != nil {
 		return err
@@ -282,8 +281,8 @@
 	return nil
 }
 
-// applyGrantChunk applies a change of a grant's chunk. One that can't be
-// decoded leaves its shard as it was.
+// applyGrantChunk applies a change of a grant's chunk. A chunk that can't be decoded leaves
+// the shard's grant unchanged.
 func (r *Records) applyGrantChunk(i, k int, data []byte, revision uint64) error {
 	if r.GrantChunks[i] == nil {
 		r.GrantChunks[i] = map[int]*GrantChunkRecord{}
@@ -302,8 +301,8 @@
 	return nil
 }
 
-// composeGrant composes a shard's grant from its head and chunks; false if some
-// of it can't be decoded, and the former grant stays.
+// composeGrant composes a shard's grant from its head and chunks. It returns false if a
+// chunk can't be decoded; the caller then keeps the previous grant.
 func (r *Records) composeGrant(i int) (storage.Grant, bool) {
 	grant := r.GrantHeads[i].Value
 	if grant.Generation == 0 {
--- a/internal/clusterstate/changes.go
+++ b/internal/clusterstate/changes.go
@@ -2,14 +2,14 @@
 
 import "reedtrack/internal/storage"
 
-// Change is a change of the records that the controller may have to react
-// to: one of the types below.
+// Change is a change of the records to which the controller may have to react: one of the
+// types below.
 type Change interface{ isChange() }
 
 // ControllerChange is a change of a controller's key.
 type ControllerChange struct {
 	Name    string
-	Session uint64 // 0: the key is gone
+	Session uint64 // 0: the key was deleted
 }
 
 // JobChange is a change of a live job's record.
@@ -20,16 +20,15 @@
 	Done     storage.IndexSet // completed tasks of Current
 }
 
-// GrantChange is a change of a shard's grant. A grant that is gone is not
-// reported.
+// GrantChange is a change of a shard's grant. The deletion of a grant is not reported.
 type GrantChange struct {
 	Shard       int
 	Grant       storage.Grant
 	HeadChanged bool // otherwise only the machine leases have changed
 }
 
-// FenceChange is an acknowledgement of a delegation that gives machines newer
-// fencing tokens.
+// FenceChange is an acknowledgement of a delegation that issues newer fencing tokens to
+// machines.
 type FenceChange struct {
 	Shard           int
 	Acknowledgement storage.DelegationAck
@@ -44,8 +43,8 @@
 	Completed bool // grants may be split from now on
 }
 
-// UnreadableRecord is a record that can't be decoded. The copy keeps what it
-// showed before: such a record never counts as absent.
+// UnreadableRecord is a record that can't be decoded. The copy keeps its previous state:
+// such a record is never treated as absent.
 type UnreadableRecord struct {
 	Key string
 	Err error
--- a/internal/clusterstate/entry.go
+++ b/internal/clusterstate/entry.go
@@ -17,12 +17,12 @@
 type GrantChunkRecord struct {
 	Value    storage.GrantChunk
 	Revision uint64
-	// Bytes is the encoded size, which who needs it computes and keeps here; it
-	// is negative for a chunk that can't be decoded.
+	// Bytes caches the encoded size, which callers compute on demand. It is negative
+	// for a chunk that can't be decoded.
 	Bytes int
 }
 
-// JobRecord is the copy of a live job's record, with what follows from it.
+// JobRecord is the copy of a live job's record, with derived data.
 type JobRecord struct {
 	Record    storage.Job
 	Revision  uint64
@@ -33,26 +33,26 @@
 	Dependencies    DependencyState
 }
 
-// DependencyState is what follows for a job from the records of its
-// dependencies and their ends. Every controller derives it, and it is not
-// stored. It is carried over from one revision of the job to the next.
+// DependencyState is the state of a job derived from the records of its dependencies and
+// their ends. Every controller derives it; it is not stored. It is carried over from one
+// revision of the job to the next.
 type DependencyState struct {
-	Unblocked      bool  // every dependency has a stored end and is done; never taken back
-	UnblockedMS    int64 // the last of those ends: when the job's times begin to count
-	Pending        bool  // some dependency has not ended, as far as is known
+	Unblocked      bool  // every dependency has a stored end and is done; never reset
+	UnblockedMS    int64 // the latest of those ends, from which the job's times count
+	Pending        bool  // some dependency is not known to have ended
 	Cancelled      bool  // some dependency, direct or not, was cancelled
 	CancelledSince time.Time
 	Urgency        protocol.Priority // the highest of its own and of its dependents
-	DeadlineMS     float64           // when it should be done, for its own sake or its dependents'; infinite: no deadline
+	DeadlineMS     float64           // when it should be done, including for its dependents; infinite: no deadline
 }
 
-// IsBlocked reports whether a job does not count yet towards quotas, guarantees
-// and demand.
+// IsBlocked reports whether the job's dependencies block it, so that it does not count yet
+// towards quotas, guarantees and demand.
 func (j *JobRecord) IsBlocked() bool {
 	return len(j.Record.Spec.DependsOn) > 0 && !j.Dependencies.Unblocked && (j.Dependencies.Pending || j.Dependencies.Cancelled)
 }
 
-// StartableMS returns when the job's times begin to count for its user, Unix
+// StartableMS returns the time from which the job's user-visible times count, in Unix
 // milliseconds.
 func (j *JobRecord) StartableMS() int64 {
 	if j.Dependencies.Unblocked {
--- a/internal/clusterstate/records.go
+++ b/internal/clusterstate/records.go
@@ -8,35 +8,35 @@
 	"reedtrack/internal/storage"
 )
 
-// Records is the copy of the records, with what follows from them alone. The
-// fields are for reading: Apply changes them, and the methods that say so.
+// Records is the copy of the records, with derived data. The fields are read-only for
+// callers, except through Apply and the methods documented to change them.
 type Records struct {
 	// Controllers are the live controllers by name.
 	Controllers map[string]Entry[storage.Controller]
-	// Leader is the leader's key; its revision is 0 while nobody leads.
+	// Leader is the leader's key; its revision is 0 while there is no leader.
 	Leader Entry[storage.Controller]
 	// Shards are the leases of the shards by index.
 	Shards map[int]Entry[storage.ShardLease]
-	// LastToken is the fencing token given last.
+	// LastToken is the last issued fencing token.
 	LastToken Entry[storage.FencingTokenCounter]
 	// Grants are the shards' grants by index, each composed of its head and
 	// chunks. The revision is the head's.
 	Grants map[int]Entry[storage.Grant]
 	// GrantHeads are the grants' own records.
 	GrantHeads map[int]Entry[storage.Grant]
-	// GrantChunks are the chunks by shard and number, those included that
-	// belong to no present grant.
+	// GrantChunks are the chunks by shard and number, including those that
+	// belong to no current grant.
 	GrantChunks map[int]map[int]*GrantChunkRecord
 	// Jobs are the live jobs by ID.
 	Jobs map[string]*JobRecord
 	// UnreadableJobs are the live jobs whose records can't be decoded.
 	UnreadableJobs map[string]bool
-	// CompletionChunks are the completed tasks by job and first index, beside
-	// those in the job's record.
+	// CompletionChunks are the completed tasks by job and first index, in
+	// addition to those in the job's record.
 	CompletionChunks map[string]map[int]Entry[storage.CompletionChunk]
 	// Delegations are the machines delegated to heartbeat proxies.
 	Delegations map[storage.DelegationID]Entry[storage.Delegation]
-	// DelegationAcks are what the holders have acknowledged of that.
+	// DelegationAcks are the holders' acknowledgements of the delegations.
 	DelegationAcks map[storage.DelegationID]Entry[storage.DelegationAck]
 	// DelegatedMachines are the machines delegated to any proxy, by shard.
 	DelegatedMachines map[int]map[string]bool
@@ -46,15 +46,14 @@
 	// controller.
 	VersionMarkers map[string]Entry[storage.VersionMarker]
 
-	// Loaded reports whether the copy shows some revision of the store.
+	// Loaded reports whether the copy reflects a revision of the store.
 	Loaded bool
-	// AppliedRevision is the newest revision that the copy shows.
+	// AppliedRevision is the newest revision reflected by the copy.
 	AppliedRevision uint64
-	// SyncedAt is a time before which all that was committed shows.
+	// SyncedAt is a time before which all committed changes have been applied.
 	SyncedAt time.Time
 
-	// ShardOfMachine is the index of the shard that each granted machine
-	// belongs to.
+	// ShardOfMachine is the index of the shard of each granted machine.
 	ShardOfMachine map[string]int
 	// MachineTypes is the cloud's catalog; nil until it is known.
 	MachineTypes []protocol.MachineType
@@ -88,7 +87,7 @@
 	}
 }
 
-// MarkSynced records that the copy shows all that was committed before sentAt.
+// MarkSynced records that the copy reflects all changes committed before sentAt.
 func (r *Records) MarkSynced(sentAt time.Time) {
 	r.SyncedAt, r.Loaded = sentAt, true
 }
--- a/internal/clusterstate/schema.go
+++ b/internal/clusterstate/schema.go
@@ -3,8 +3,8 @@
 import "reedtrack/internal/storage"
 
 // Records of a new kind, or with new fields, may be written once every controller
-// has run a version that supports them. The methods ending in Enabled say so by
-// the name of what is written.
+// has run a version that supports them. The methods ending in Enabled report this for each
+// feature.
 
 // SupportsSchema reports whether this version supports the schema of the
 // records. A controller that doesn't must not act.
--- a/internal/dispatch/doc.go
+++ b/internal/dispatch/doc.go
@@ -1,35 +1,31 @@
-// Package dispatch decides about commands that a controller sends straight to
-// workers (/do), without waiting for their next heartbeats. It has two parts:
+// Package dispatch manages direct messages: commands that a controller sends to workers
+// (/do) without waiting for their next heartbeats. It has two parts:
 //
-//   - Limiter selects the workers that get a message now, so that messages save
-//     the most waiting and don't take the controller's processor from the
-//     heartbeats.
-//   - Start and Exchange keep track of what a message that was sent may still
-//     do. An Exchange belongs to one worker, a Start to one attempt of a task
-//     that is placed on it.
+//   - Limiter selects the workers that get a message, so that messages save the most
+//     waiting time without starving heartbeats of the controller's processor time.
+//   - Exchange and Start track the possible effects of messages that have been sent. An
+//     Exchange belongs to one worker, a Start to one attempt of a task placed on it.
 //
-// The controller's dispatch loop asks the Limiter and sends the messages; its
-// handling of heartbeats, and of responses to messages, tells Exchange and Start
-// what arrived and asks what may be concluded from it. The package does no I/O
-// and reads no clock. It doesn't decide what is placed where.
+// The controller's dispatch loop queries the Limiter and sends the messages. The handlers
+// of heartbeats and of message responses update Exchange and Start, and query them for
+// what can be concluded. The package does no I/O and reads no clock. It doesn't decide on
+// placement.
 //
 // # Starts that may arrive late
 //
-// A start travels in the response to a heartbeat, or in a direct message. The
-// worker has one heartbeat in flight at a time and drops a response that comes
-// late, so its next heartbeat settles what became of a response. A direct
-// message may arrive minutes late, and is carried out if worker and message
-// still agree on fencing token and session. So a start that was sent directly
-// binds its task to the worker until one of these is known:
+// A start is sent in the response to a heartbeat or in a direct message. The worker has
+// one heartbeat in flight at a time and discards late responses, so its next heartbeat
+// determines the outcome of a response. A direct message may arrive minutes late, and is
+// executed if worker and message still agree on fencing token and session. A start that
+// was sent directly therefore binds its task to the worker until one of these is known:
 //
-//   - The message was responded to, or never left.
-//   - The worker has begun a newer session, or has seen a higher token: it
-//     refuses the message from then on.
-//   - The worker has the attempt: a start that it already has does nothing. To
-//     bring that about, the next response carries the same start again. It stays
-//     so for as long as the worker remembers the attempt; so the worker is not
-//     told to clear it while a copy may arrive (Exchange.CanClear).
+//   - The message was answered, or never sent.
+//   - The worker has begun a newer session or has seen a higher token: it rejects the
+//     message from then on.
+//   - The worker has the attempt: repeating its start has no effect. To reach this
+//     state, the next response carries the same start again. It lasts until the worker
+//     clears the attempt, so the worker is not told to clear it while a copy may arrive
+//     (Exchange.CanClear).
 //
-// docs/safety.md has the proof; the controller's tests explore it with the real
-// code.
+// docs/safety.md has the proof; the controller's tests verify it with the production code.
 package dispatch
--- a/internal/dispatch/exchange_test.go
+++ b/internal/dispatch/exchange_test.go
@@ -6,8 +6,8 @@
 	"pgregory.net/rapid"
 )
 
-// Whatever is late, lost or abandoned, an attempt that a message under way may
-// start is one that its holder takes for placed.
+// Regardless of late, lost and abandoned messages, every attempt that a message in flight
+// may start is one that its holder considers placed.
 func TestNoStartArrivesUnexpectedly(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		if task := runRandomEvents(t, 0); task != "" {
@@ -16,8 +16,7 @@
 	})
 }
 
-// Without either of the guards the model finds a start that its holder does not
-// expect.
+// If either guard is disabled, the model detects a start that its holder does not expect.
 func TestModelFindsMissingGuards(t *testing.T) {
 	for name, disabled := range map[string]DisabledGuards{"binding": WithoutBinding, "memory": WithoutDeferredClear} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/dispatch/limiter.go
+++ b/internal/dispatch/limiter.go
@@ -8,45 +8,44 @@
 	"golang.org/x/time/rate"
 )
 
-// Target is a worker for which commands wait.
+// Target is a worker with pending commands.
 type Target struct {
-	Worker         int           // the caller's number for it
-	Rank           int           // of the most urgent of its commands; 0 comes first
-	Commands       int           // how many wait
-	SinceHeartbeat time.Duration // since the worker's newest heartbeat
-	Stops          bool          // some of the commands stop tasks: what is to run in their place waits for them
+	Worker         int           // index assigned by the caller
+	Rank           int           // of its most urgent command; 0 is the most urgent
+	Commands       int           // number of pending commands
+	SinceHeartbeat time.Duration // since the worker's latest heartbeat
+	Stops          bool          // some commands stop tasks, and other tasks wait for their capacity
 }
 
 const (
-	// minSaving is the least time that a message has to save.
+	// minSaving is the minimum waiting time that a message must save.
 	minSaving = 250 * time.Millisecond
-	// busyLoad and fullLoad are parts of the processor share: beyond the first
-	// only what is most urgent is sent, beyond the second nothing.
+	// busyLoad and fullLoad are fractions of the processor share. Above busyLoad
+	// only the most urgent commands are sent, above fullLoad none.
 	busyLoad, fullLoad = 0.7, 0.9
-	// maxUnanswered messages in a row without a response show that the network
-	// is cut: from then on one message at a time probes it, every probeInterval.
+	// maxUnanswered consecutive messages without a response indicate a network
+	// partition: from then on one message every probeInterval probes the network.
 	maxUnanswered = 8
 	probeInterval = time.Second
 	// burstSeconds is the time for which the budget of messages accumulates, so
 	// that a batch of placements can go out at once.
 	burstSeconds = 2
-	// stopWeight is how much more a message that stops tasks saves: the tasks
-	// that take their place wait as well.
+	// stopWeight multiplies the saving of a message that stops tasks: the tasks that
+	// replace them wait as well.
 	stopWeight = 2
 )
 
-// Limiter selects the workers that get a direct message. A message costs a
-// connection and processor time, of which the controller has a share of one
-// processor, and heartbeats come first. So messages have a budget that shrinks
-// as the processor fills up, and the most urgent commands that save most waiting
-// are sent first. When responses stay away, as behind a network partition,
-// messages are all but given up until one is responded to. It is not safe for
-// concurrent use.
+// Limiter selects the workers that get a direct message. A message costs a connection and
+// part of the controller's share of a processor, on which heartbeats have priority.
+// Messages therefore have a rate budget and are restricted further under load; the most
+// urgent commands that save the most waiting time are sent first. When responses are
+// missing, as in a network partition, only occasional probes are sent until one is
+// answered. It is not safe for concurrent use.
 type Limiter struct {
 	limits     Limits
 	budget     *rate.Limiter
 	inFlight   int
-	unanswered int // messages in a row without a response
+	unanswered int // consecutive messages without a response
 	lastProbe  time.Time
 }
 
@@ -56,16 +55,15 @@
 	return &Limiter{limits: l, budget: rate.NewLimiter(rate.Limit(l.MessagesPerSecond), burst)}
 }
 
-// Limits returns what the limiter was made with.
+// Limits returns the limits passed to NewLimiter.
 func (l *Limiter) Limits() Limits { return l.limits }
 
-// InFlight returns how many messages are under way.
+// InFlight returns the number of messages in flight.
 func (l *Limiter) InFlight() int { return l.inFlight }
 
-// Select returns the targets that get a message now, the most urgent first, and
-// charges the budget. It reorders targets. load is the part of its processor
-// share that the controller uses. RecordResult must be called once for each
-// target selected.
+// Select returns the targets that get a message now, most urgent first, and charges the
+// budget. It reorders targets. load is the fraction of its processor share that the
+// controller uses. RecordResult must be called once for each selected target.
 func (l *Limiter) Select(targets []Target, load float64, now time.Time) []Target {
 	if load > fullLoad {
 		return nil
@@ -94,8 +92,8 @@
 	return selected
 }
 
-// reserveSlots returns how many messages may be sent now. While responses stay
-// away that is one for each probeInterval, which counts as used.
+// reserveSlots returns how many messages may be sent now. While responses are missing, it
+// reserves one probe per probeInterval.
 func (l *Limiter) reserveSlots(now time.Time) int {
 	if l.unanswered < maxUnanswered {
 		return l.limits.MaxInFlight - l.inFlight
@@ -115,7 +113,7 @@
 	return l.limits.ExpectedWait(t.SinceHeartbeat) >= minSaving
 }
 
-// saving returns the waiting that a message saves, over all its commands.
+// saving returns the total waiting time that a message saves over all its commands.
 func (l *Limiter) saving(t Target) time.Duration {
 	saved := l.limits.ExpectedWait(t.SinceHeartbeat) * time.Duration(max(1, t.Commands))
 	if t.Stops {
@@ -124,8 +122,8 @@
 	return saved
 }
 
-// RecordResult records that a message is not under way any more, and whether the
-// worker responded.
+// RecordResult records that a message is no longer in flight, and whether the worker
+// responded.
 func (l *Limiter) RecordResult(responded bool) {
 	l.inFlight--
 	if responded {
--- a/internal/dispatch/limiter_test.go
+++ b/internal/dispatch/limiter_test.go
@@ -27,8 +27,8 @@
 	return list
 }
 
-// Of random targets those are selected that a plain look at all of them would
-// choose, within the budget, and the messages under way are bounded.
+// The selection from random targets matches a simple check of all targets, stays within
+// the budget, and bounds the messages in flight.
 func TestSelectTakesMostUrgentWithinBudget(t *testing.T) {
 	const rounds, interval = 40, 100 * time.Millisecond
 	rnd := rand.New(rand.NewPCG(1, 1))
@@ -43,7 +43,7 @@
 			inFlight += len(selected)
 			sent += len(selected)
 			if inFlight > testLimits.MaxInFlight || limiter.InFlight() != inFlight {
-				t.Fatalf("%d under way, the limiter says %d", inFlight, limiter.InFlight())
+				t.Fatalf("%d in flight, the limiter reports %d", inFlight, limiter.InFlight())
 			}
 			checkSelected(t, targets, selected, load)
 			for ; inFlight > 0 && rnd.IntN(3) > 0; inFlight-- {
@@ -51,7 +51,7 @@
 			}
 			now = now.Add(interval)
 		}
-		// What accrues in all rounds, and the burst.
+		// The budget accrued over all rounds, and the burst.
 		if bound := int(testLimits.MessagesPerSecond * ((rounds * interval).Seconds() + burstSeconds)); sent > bound {
 			t.Fatalf("%d messages, at most %d", sent, bound)
 		}
@@ -80,8 +80,7 @@
 	}
 }
 
-// When responses stay away messages are all but given up, until one is responded
-// to.
+// Without responses only occasional probes are sent, until one is answered.
 func TestMessagesAreGivenUpWithoutResponses(t *testing.T) {
 	limiter := NewLimiter(testLimits)
 	now := testTime
--- a/internal/dispatch/limits.go
+++ b/internal/dispatch/limits.go
@@ -2,29 +2,28 @@
 
 import "time"
 
-// Limits are the bounds on direct messages that don't change while a controller
-// runs.
+// Limits are the bounds on direct messages that are constant while a controller runs.
 type Limits struct {
-	HeartbeatInterval time.Duration // of workers, give or take a quarter
-	MessagesPerSecond float64       // at most
-	MaxInFlight       int           // messages under way at once, at most
+	HeartbeatInterval time.Duration // mean interval of workers; each interval varies by ±25 %
+	MessagesPerSecond float64       // maximum rate
+	MaxInFlight       int           // maximum number of concurrent messages
 }
 
 const (
 	// messageCost is the processor time of one message with its response.
 	messageCost = 350 * time.Microsecond
-	// messageShare is the part of its processor share that a controller may
+	// messageShare is the fraction of its processor share that a controller may
 	// spend on messages.
 	messageShare = 0.2
-	// maxInFlight bounds the messages under way, whatever the number of sockets.
+	// maxInFlight bounds the concurrent messages regardless of the number of sockets.
 	maxInFlight = 64
-	// socketsPerMessage: one in so many sockets is for direct messages.
+	// socketsPerMessage is the number of sockets per concurrent direct message.
 	socketsPerMessage = 24
 )
 
-// LimitsFor derives limits from the workers' heartbeat interval and from what a
-// controller has: its share of a processor (0: a whole one) and its sockets (0:
-// not known).
+// LimitsFor derives limits from the workers' heartbeat interval and the controller's
+// resources: its share of a processor (0: an entire processor) and its number of sockets
+// (0: unknown).
 func LimitsFor(heartbeatInterval time.Duration, cpuShare float64, sockets int) Limits {
 	if cpuShare <= 0 {
 		cpuShare = 1
@@ -40,9 +39,9 @@
 	return l
 }
 
-// ExpectedWait returns how long commands would wait for the worker's next
-// heartbeat, on average. It is 0 if that is overdue: the worker may be
-// unreachable, and a message would not reach it either.
+// ExpectedWait returns the average time until the worker's next heartbeat. It is 0 if the
+// heartbeat is overdue: the worker may be unreachable, and a message would not reach it
+// either.
 func (l Limits) ExpectedWait(sinceHeartbeat time.Duration) time.Duration {
 	earliest, latest := l.HeartbeatInterval*3/4, l.HeartbeatInterval*5/4
 	switch {
@@ -58,10 +57,10 @@
 // maxDoublings bounds how far Backoff grows.
 const maxDoublings = 5
 
-// Backoff returns how long a worker that has not responded to so many messages
-// in a row gets none. Responses to its heartbeats carry its commands meanwhile.
-// jitter, from 0 to 1, keeps workers that became unreachable together from being
-// retried together.
+// Backoff returns how long a worker gets no direct messages after the given number of
+// consecutive failures. Responses to its heartbeats carry its commands meanwhile. jitter,
+// from 0 to 1, prevents workers that became unreachable simultaneously from being retried
+// simultaneously.
 func (l Limits) Backoff(failures int, jitter float64) time.Duration {
 	d := l.HeartbeatInterval << min(failures, maxDoublings)
 	return d + time.Duration(jitter*float64(d)/2)
--- a/internal/dispatch/model_test.go
+++ b/internal/dispatch/model_test.go
@@ -7,8 +7,7 @@
 	"pgregory.net/rapid"
 )
 
-// modelWorker is a plain worker: its attempts, and the highest token and the
-// session that it goes by.
+// modelWorker is a simplified worker: its attempts, its highest token and its session.
 type modelWorker struct {
 	token, session, sequence uint64
 	attempts                 map[string]modelAttempt
@@ -19,12 +18,12 @@
 	ended  bool
 }
 
-// modelMessage is a direct message under way, with the starts that it carries.
+// modelMessage is a direct message in flight, with its starts.
 type modelMessage struct {
 	token, session uint64
 	message        Message
 	starts         []modelStart
-	abandoned      bool // the holder does not wait for the response any more
+	abandoned      bool // the holder no longer waits for the response
 }
 
 type modelStart struct {
@@ -33,14 +32,14 @@
 	start  *Start
 }
 
-// model is a worker, its holder with the code under test, and the network
-// between them.
+// model consists of a worker, its holder with the code under test, and the network between
+// them.
 type model struct {
 	worker      modelWorker
 	token       uint64
 	exchange    Exchange[string]
 	placed      map[string]*modelStart
-	toClear     map[string]uint64 // ended attempts that the worker is to forget
+	toClear     map[string]uint64 // ended attempts that the worker should clear
 	network     []*modelMessage
 	lastAttempt uint64
 	disabled    DisabledGuards
@@ -56,7 +55,7 @@
 	}
 }
 
-// execute has the worker carry out a start.
+// execute makes the worker execute a start.
 func (w *modelWorker) execute(s modelStart) {
 	if a, ok := w.attempts[s.task]; ok && (a.number == s.number || !a.ended) {
 		return
@@ -64,13 +63,13 @@
 	w.attempts[s.task] = modelAttempt{number: s.number}
 }
 
-// hasAttempt reports whether the worker has, or had and remembers, the attempt.
+// hasAttempt reports whether the worker has the attempt, running or ended.
 func (w *modelWorker) hasAttempt(s *modelStart) bool {
 	a, found := w.attempts[s.task]
 	return found && a.number == s.number
 }
 
-// sendHeartbeat brings a heartbeat to the holder, which responds.
+// sendHeartbeat delivers a heartbeat to the holder, which responds.
 func (m *model) sendHeartbeat(responseArrives bool) {
 	w := &m.worker
 	w.sequence++
@@ -98,7 +97,7 @@
 	m.respond(responseArrives)
 }
 
-// respond gives the worker what is due, if the response arrives.
+// respond sends the due commands to the worker, which executes them if the response arrives.
 func (m *model) respond(arrives bool) {
 	w := &m.worker
 	for task, number := range m.toClear {
@@ -120,7 +119,7 @@
 	}
 }
 
-// place begins a new attempt of a task where the holder may.
+// place places a new attempt of a task if the holder may do so.
 func (m *model) place(task string) {
 	if m.placed[task] != nil || m.exchange.StartMayArrive(task) || m.toClear[task] != 0 {
 		return
@@ -144,7 +143,7 @@
 	m.network = append(m.network, d)
 }
 
-// abandonMessages has the holder give up waiting for responses.
+// abandonMessages makes the holder stop waiting for responses.
 func (m *model) abandonMessages() {
 	for _, d := range m.network {
 		if !d.abandoned {
@@ -154,8 +153,8 @@
 	}
 }
 
-// deliver brings a message to the worker; its response gets through unless the
-// message was abandoned.
+// deliver delivers a message to the worker. The response arrives unless the message was
+// abandoned.
 func (m *model) deliver(i int) {
 	d, w := m.network[i], &m.worker
 	m.network = slices.Delete(m.network, i, i+1)
@@ -196,20 +195,20 @@
 	}
 }
 
-// expireLease has the worker drop everything and begin a new session.
+// expireLease makes the worker drop all attempts and begin a new session.
 func (m *model) expireLease() {
 	m.worker.session++
 	clear(m.worker.attempts)
 }
 
-// isPlaced reports whether the holder takes an attempt for placed.
+// isPlaced reports whether the holder considers an attempt placed.
 func (m *model) isPlaced(task string, number uint64) bool {
 	p := m.placed[task]
 	return p != nil && p.number == number
 }
 
-// unexpectedTask returns a task of which an attempt runs, or may be started by a
-// message under way, though the holder takes it for absent; or "".
+// unexpectedTask returns a task of which an attempt runs, or may be started by a message in
+// flight, although the holder considers it absent; "" if there is none.
 func (m *model) unexpectedTask() string {
 	for _, d := range m.network {
 		if d.token < m.worker.token || d.session != m.worker.session {
@@ -233,8 +232,8 @@
 	return ""
 }
 
-// runRandomEvents plays random late, lost and repeated messages. It returns the
-// first unexpected task, or "".
+// runRandomEvents simulates random late, lost and repeated messages. It returns the first
+// unexpected task, or "".
 func runRandomEvents(t *rapid.T, disabled DisabledGuards) string {
 	m := newModel(disabled)
 	tasks := rapid.SampledFrom([]string{"a", "b"})
--- a/internal/dispatch/start.go
+++ b/internal/dispatch/start.go
@@ -1,42 +1,40 @@
 package dispatch
 
-// Start is the progress of starting one attempt of a task on a worker. The zero
-// value has not been sent.
+// Start tracks the start of one attempt of a task on a worker. The zero value is a start
+// that has not been sent.
 type Start struct {
 	inResponse bool   // sent in the response to a heartbeat
 	reported   bool   // the worker has reported that it has, or had, the attempt
-	unanswered bool   // sent directly, and not yet known what became of that
-	message    uint64 // the direct message that carried it last
+	unanswered bool   // sent directly, with an unknown outcome
+	message    uint64 // the latest direct message that carried it
 }
 
-// IsSent reports whether the start has been sent in any way. Then only a
-// heartbeat of the worker, or the expiry of its lease, can take it back.
+// IsSent reports whether the start has been sent in any way. If so, only a heartbeat of the
+// worker or the expiry of its lease can show that it has no effect.
 func (s *Start) IsSent() bool { return s.inResponse || s.reported || s.unanswered }
 
 // IsKnown reports whether the worker is known to have, or to have had, the
 // attempt.
 func (s *Start) IsKnown() bool { return s.reported }
 
-// IsUnconfirmed reports whether a direct message may or may not have started the
-// attempt, or may still do so, and no heartbeat has shown it.
+// IsUnconfirmed reports whether a direct message may have started the attempt, or may still
+// do so, and no report of the worker confirms it.
 func (s *Start) IsUnconfirmed() bool { return s.unanswered && !s.reported }
 
-// IsDue reports whether the next response to a heartbeat has to carry the start:
-// it has not been sent, or only directly.
+// IsDue reports whether the next response to a heartbeat must carry the start: it has not
+// been sent, or only directly.
 func (s *Start) IsDue() bool { return !s.inResponse && !s.reported }
 
-// MarkSentInResponse records that the start goes out in the response to a
-// heartbeat.
+// MarkSentInResponse records that the start is sent in the response to a heartbeat.
 func (s *Start) MarkSentInResponse() { s.inResponse = true }
 
 // MarkReported records that the worker has reported the attempt.
 func (s *Start) MarkReported() { s.reported = true }
 
-// ConfirmAbsent is called for an attempt that the newest heartbeat does not
-// list. It reports whether the attempt is certainly not on the worker and can't
-// be started there by what was sent before. tokenAdvanced says that the
-// heartbeat shows a higher fencing token than the start was sent under. If it is
-// not certain, the start is due again: see IsDue.
+// ConfirmAbsent is called for an attempt that the newest heartbeat does not list. It
+// reports whether the attempt is certainly not on the worker and can't be started there by
+// earlier messages. tokenAdvanced reports that the heartbeat has a higher fencing token
+// than the start. If absence is not certain, the start becomes due again (see IsDue).
 func (s *Start) ConfirmAbsent(tokenAdvanced bool, disabled DisabledGuards) bool {
 	if !s.IsSent() {
 		return false
--- a/internal/failuredetector/isolation.go
+++ b/internal/failuredetector/isolation.go
@@ -2,69 +2,68 @@
 
 import "time"
 
-// IsolationDetector detects that a controller receives no heartbeats at all. A
-// controller that no worker reaches holds machines that others could serve:
-// their workers drop all that they run when their leases expire, though nothing
-// is wrong with them. With dozens of machines, each of which sends heartbeats,
-// it is no coincidence that none arrives for longer than Timing.SuspectAfter.
+// IsolationDetector detects that a controller receives no heartbeats at all. An
+// isolated controller holds machines that others could serve: their healthy
+// workers drop all their tasks when their leases expire. With dozens of machines
+// sending heartbeats, receiving none for longer than Timing.SuspectAfter is not a
+// coincidence.
 //
-// Where the machines themselves are lost, stepping down does not help. Two rules
-// keep shards from going round among the controllers then, each beginning anew
-// to wait for what may still run: a controller steps down more and more seldom
-// until it receives a heartbeat, and hands over machines that it has never heard
-// only once in a while.
+// If the machines themselves are lost, stepping down does not help. Two rules
+// then prevent the shards from circulating among the controllers, where every
+// new holder waits again for tasks that may still run: a controller steps down
+// with exponential backoff until it receives a heartbeat, and hands over machines
+// that never sent it a heartbeat at most once per handoverBackoff.
 type IsolationDetector struct {
 	timing           Timing
-	silence          time.Duration // without a heartbeat from any worker, while this process ran
+	silence          time.Duration // time without a heartbeat from any worker while this process was running
 	lastTick         time.Time
-	backoff          time.Duration // the least time from the next step-down to the one after it
-	stillIsolated    bool          // it has stepped down, and received no heartbeat since
-	resetByRelay     bool          // the silence began anew with a relayed heartbeat
+	backoff          time.Duration // minimum time from the next step-down to the one after it
+	stillIsolated    bool          // no heartbeat was received since the last step-down
+	resetByRelay     bool          // a relayed heartbeat has reset the silence
 	storeUnreachable bool          // the key-value store did not answer at the last tick
-	resetByStore     bool          // the silence began anew when the key-value store answered again
+	resetByStore     bool          // the recovery of the key-value store has reset the silence
 
 	nextStepDownAt time.Time // no step-down before this
-	nextHandoverAt time.Time // no step-down before this on account of machines that were never heard
+	nextHandoverAt time.Time // no step-down before this for machines that never sent a heartbeat
 }
 
 const (
-	// minStepDownBackoff is the least time between two step-downs. It doubles
-	// with each until a worker is heard.
+	// minStepDownBackoff is the minimum time between two step-downs. It doubles
+	// with each step-down until a heartbeat is received.
 	minStepDownBackoff = 30 * time.Second
 	maxStepDownBackoff = 16 * minStepDownBackoff
-	// handoverBackoff is the least time between two step-downs that only hand
-	// over machines which this controller acquired and never heard: long enough
-	// for each of several isolated controllers to do so once.
+	// handoverBackoff is the minimum time between two step-downs that only hand
+	// over machines from which this controller never received a heartbeat. It
+	// is long enough for each of several isolated controllers to do so once.
 	handoverBackoff = 8 * minStepDownBackoff
-	// maxTick bounds the silence that one tick adds. A process that stood still,
-	// or got no processor, has received nothing meanwhile, and that means
-	// nothing.
+	// maxTick bounds the silence that one tick adds: a suspended or CPU-starved
+	// process receives no heartbeats, which says nothing about the workers.
 	maxTick = 500 * time.Millisecond
 )
 
-// NewIsolationDetector returns a detector that has received no heartbeat yet.
+// NewIsolationDetector returns a detector without any recorded heartbeat.
 func NewIsolationDetector(t Timing) *IsolationDetector {
 	return &IsolationDetector{timing: t, backoff: minStepDownBackoff}
 }
 
-// RecordHeartbeat records that a heartbeat arrived, of whatever worker.
+// RecordHeartbeat records a heartbeat received directly from any worker.
 func (d *IsolationDetector) RecordHeartbeat() {
 	d.silence, d.backoff, d.stillIsolated, d.resetByRelay, d.resetByStore = 0, minStepDownBackoff, false, false, false
 }
 
-// RecordRelayedHeartbeat records that another controller relayed a heartbeat. That
-// does not show that workers reach this one; but a worker that was answered so comes
-// back only with its next heartbeat. So the silence begins anew, once: a controller
-// that is isolated steps down all the same.
+// RecordRelayedHeartbeat records that another controller relayed a heartbeat. This
+// does not show that workers reach this controller, but a worker whose heartbeat was
+// relayed contacts it again only with the next heartbeat. The silence is therefore
+// reset, but only once, so that an isolated controller still steps down.
 func (d *IsolationDetector) RecordRelayedHeartbeat() {
 	if !d.resetByRelay {
 		d.silence, d.resetByRelay = 0, true
 	}
 }
 
-// Tick records that time has passed in which this process could receive
-// heartbeats. After TickCutOff the silence begins anew, once until a heartbeat is
-// received: workers that gave this controller up meanwhile are on their way back.
+// Tick records elapsed time in which this process could receive heartbeats. The first
+// call after TickStoreUnreachable resets the silence, once until a heartbeat is
+// received: workers that switched to other controllers meanwhile are returning.
 func (d *IsolationDetector) Tick(now time.Time) {
 	if d.storeUnreachable && !d.resetByStore {
 		d.silence, d.resetByStore = 0, true
@@ -76,40 +75,40 @@
 	d.lastTick = now
 }
 
-// TickStoreUnreachable records that time has passed in which the key-value store did not answer
-// this process either. What cuts it off from both is no sign that workers reach other
-// controllers, and without the store nothing can be handed over to these.
+// TickStoreUnreachable records elapsed time in which the key-value store did not answer
+// either. A failure that affects both does not show that workers reach other
+// controllers, and without the store no machine can be handed over.
 func (d *IsolationDetector) TickStoreUnreachable(now time.Time) {
 	d.storeUnreachable, d.lastTick = true, now
 }
 
-// Pause begins the silence anew. It is to be called while the controller may not
-// act: workers are then told to turn to others.
+// Pause resets the silence. It must be called while the controller may not act, since
+// workers are then redirected to other controllers.
 func (d *IsolationDetector) Pause() { d.silence, d.lastTick = 0, time.Time{} }
 
-// Silence returns for how long no worker has been heard.
+// Silence returns the time since a heartbeat was last received from any worker.
 func (d *IsolationDetector) Silence() time.Duration { return d.silence }
 
-// MayBeCoincidence reports whether the silence may be one of a few machines that lost a
-// heartbeat. expected is how many machines should report here: those that are not
-// delegated to a heartbeat proxy, which hears them instead.
+// MayBeCoincidence reports whether the silence may be due to individual lost heartbeats
+// of a few machines. expected is the number of machines that should report here: those
+// that are not delegated to a heartbeat proxy, which receives their heartbeats instead.
 func (d *IsolationDetector) MayBeCoincidence(expected int) bool {
 	return expected > 0 && expected < minCorrelatedFailure && d.silence <= d.timing.FewSilentAfter()
 }
 
-// ShouldStepDown reports whether the controller should let others have its
-// machines. heard and unheard count the machines that have sent it a heartbeat
-// since it acquired them and those that have not; overdue are those of unheard
-// that it has had for longer than Timing.SuspectAfter.
+// ShouldStepDown reports whether the controller should release its machines to
+// others. heard and unheard count the machines that have and have not sent it a
+// heartbeat since it acquired them; overdue counts the unheard machines that it has
+// held for longer than Timing.SuspectAfter.
 //
-// With no heartbeat from any worker for that long, one of these is enough, each
-// of at least as many machines as can't be silent by coincidence:
+// If no heartbeat was received for that long, one of the following conditions
+// suffices. Each requires at least minCorrelatedFailure machines:
 //
-//   - machines that it had heard;
-//   - any machines, if it has stepped down and heard no worker since: it is
-//     still isolated, and hands over at once what it is given;
-//   - overdue machines, once in a while: of several isolated controllers the
-//     leader may have picked another.
+//   - machines that had sent heartbeats;
+//   - any machines, if no heartbeat was received since the last step-down: the
+//     controller is still isolated and hands over newly granted machines at once;
+//   - overdue machines, at most once per handoverBackoff: among several isolated
+//     controllers the leader may have chosen another isolated one.
 func (d *IsolationDetector) ShouldStepDown(heard, unheard, overdue int, now time.Time) bool {
 	if now.Before(d.nextStepDownAt) || d.silence <= d.timing.SuspectAfter() {
 		return false
@@ -124,8 +123,8 @@
 	}
 }
 
-// RecordStepDown records that the controller steps down, and whether it had
-// heard any of its machines.
+// RecordStepDown records that the controller steps down. heard reports whether any of
+// its machines had sent it a heartbeat.
 func (d *IsolationDetector) RecordStepDown(heard bool, now time.Time) {
 	if !heard {
 		d.nextHandoverAt = now.Add(handoverBackoff)
--- a/internal/failuredetector/isolation_store_test.go
+++ b/internal/failuredetector/isolation_store_test.go
@@ -6,16 +6,16 @@
 	"time"
 )
 
-// outage is a time in which something does not reach a controller.
+// outage is an interval in which messages do not reach the controller.
 type outage struct{ from, until time.Duration }
 
 func (o outage) contains(at time.Duration) bool { return at >= o.from && at < o.until }
 
-// storeOutageModel is a controller that many workers and the key-value store reach, but
-// for an outage of each.
+// storeOutageModel simulates a controller with many workers and the key-value store, each
+// with one outage.
 type storeOutageModel struct {
 	workers, store outage
-	ignoreStore    bool // the detector is not told of the store's silence
+	ignoreStore    bool // the detector is not notified of the store outage
 }
 
 const (
@@ -25,7 +25,7 @@
 	modelEnd           = 2 * time.Minute
 )
 
-// steppedDownAt returns when the controller first steps down, or never.
+// steppedDownAt returns the time of the first step-down, or never.
 func (m storeOutageModel) steppedDownAt() time.Duration {
 	begin := time.Unix(1e6, 0)
 	d := NewIsolationDetector(testTiming)
@@ -53,30 +53,30 @@
 	return never
 }
 
-// violation returns what is wrong with the time at which the controller steps down, or "".
+// violation describes why the time of the step-down is incorrect; "" if it is correct.
 func (m storeOutageModel) violation() string {
 	steppedDown := m.steppedDownAt()
-	// The workers must be silent for so long while the store answers.
+	// How long the workers must be silent while the store answers.
 	patience := testTiming.SuspectAfter() + 2*modelTick
 	deadline := m.workers.from + patience
 	if m.store.from < deadline && m.store.until > m.workers.from-modelStoreTimeout {
-		// At worst the silence begins anew once the store answers again.
+		// In the worst case the silence is reset when the store answers again.
 		deadline = max(m.workers.from, m.store.until+modelRenewInterval) + patience
 	}
 	switch {
 	case deadline < m.workers.until && steppedDown > deadline:
-		return fmt.Sprintf("has not stepped down by %v", deadline)
+		return fmt.Sprintf("no step-down by %v", deadline)
 	case steppedDown <= m.workers.from+testTiming.SuspectAfter()-modelTick:
-		return "steps down too early"
+		return "step-down too early"
 	case steppedDown != never && m.store.from <= m.workers.from && m.store.until >= m.workers.until:
-		return "steps down though the store did not reach it either"
+		return "step-down although the store was unreachable too"
 	}
 	return ""
 }
 
-// Guards against a controller that takes its own outage for the workers' silence, and
-// against one that never steps down since the store has not answered for a while: each
-// outage begins before, in and after the other.
+// Guards against a controller that mistakes its own outage for silent workers, and against
+// one that never steps down after a store outage. Each outage begins before, during and
+// after the other.
 func TestStoreOutageIsNoSilenceOfWorkers(t *testing.T) {
 	const begin = 20 * time.Second
 	found := 0
@@ -85,7 +85,7 @@
 			for offset := -10 * time.Second; offset <= 14*time.Second; offset += time.Second / 2 {
 				m := storeOutageModel{workers: outage{begin, begin + workersOut}, store: outage{begin + offset, begin + offset + storeOut}}
 				if violation := m.violation(); violation != "" {
-					t.Errorf("workers away %v, store away %v: %s", m.workers, m.store, violation)
+					t.Errorf("worker outage %v, store outage %v: %s", m.workers, m.store, violation)
 				}
 				if m.ignoreStore = true; m.violation() != "" {
 					found++
@@ -94,12 +94,12 @@
 		}
 	}
 	if found == 0 {
-		t.Error("the model does not notice a detector that ignores the store")
+		t.Error("the model does not detect a detector that ignores store outages")
 	}
 }
 
-// Guards against a store that answers seldom and so keeps an isolated controller from
-// stepping down.
+// Guards against an intermittently reachable store that prevents an isolated controller
+// from stepping down.
 func TestSeldomAnswersOfStoreDelayStepDownOnce(t *testing.T) {
 	d := newTestDetector()
 	d.RecordHeartbeat()
@@ -109,6 +109,6 @@
 		d.TickStoreUnreachable(d.now)
 	}
 	if !d.ShouldStepDown(100, 0, 0, d.now) {
-		t.Errorf("keeps its machines, silence %v", d.Silence())
+		t.Errorf("no step-down after a silence of %v", d.Silence())
 	}
 }
--- a/internal/failuredetector/model_test.go
+++ b/internal/failuredetector/model_test.go
@@ -7,11 +7,11 @@
 
 var testTiming = Timing{HeartbeatInterval: 5 * time.Second}
 
-// never is later than any test lasts.
+// never is later than the end of any test.
 const never = time.Duration(1 << 62)
 
-// fleet is the machines of a deployment that send heartbeats as the protocol
-// says, each until it fails.
+// fleet simulates the machines of a deployment. Each sends heartbeats at the protocol's
+// interval until it fails.
 type fleet struct {
 	rnd           *rand.Rand
 	zoneCount     int
@@ -37,7 +37,7 @@
 	return time.Duration((0.75 + f.rnd.Float64()/2) * float64(testTiming.HeartbeatInterval))
 }
 
-// machinesAt returns what a controller knows at a time, which must not go back.
+// machinesAt returns the machines as a controller sees them. now must not decrease.
 func (f *fleet) machinesAt(now time.Duration) []Machine {
 	out := make([]Machine, len(f.zones))
 	for i := range out {
@@ -66,15 +66,15 @@
 	return [...]string{"none", "single machines", "zone", "all machines"}[k]
 }
 
-// noZone is the zone of failures that have none.
+// noZone is the zone of failures that do not affect a whole zone.
 const noZone = -1
 
-// inject has machines fail from a time on, and returns the zone that fails as a
-// whole, or noZone.
+// inject makes machines fail at or after the given time, and returns the zone that fails
+// entirely, or noZone.
 func (f *fleet) inject(kind failure, from time.Duration, rnd *rand.Rand) (zone int) {
 	zone = noZone
 	switch kind {
-	case singleFailures: // up to a third, one by one
+	case singleFailures: // about a third, independently
 		for i := range f.failsAt {
 			if rnd.IntN(3) == 0 && i%minCorrelatedFailure != 0 {
 				f.failsAt[i] = from + time.Duration(rnd.IntN(20))*time.Second
--- a/internal/failuredetector/timing.go
+++ b/internal/failuredetector/timing.go
@@ -2,29 +2,28 @@
 
 import "time"
 
-// Timing holds the interval from which all thresholds follow.
+// Timing holds the interval from which all thresholds are derived.
 type Timing struct {
-	HeartbeatInterval time.Duration // of workers, give or take a quarter
+	HeartbeatInterval time.Duration // mean interval of workers; each interval varies by ±25 %
 }
 
-// SuspectAfter returns the silence after which a machine gets no new tasks. It
-// has then missed a heartbeat: two of them are at most 5/4 of the interval
-// apart.
+// SuspectAfter returns the silence after which a machine gets no new tasks. It has then
+// missed a heartbeat: consecutive heartbeats are at most 5/4 of the interval apart.
 func (t Timing) SuspectAfter() time.Duration { return t.HeartbeatInterval * 3 / 2 }
 
-// UnreachableAfter returns the silence after which the capacity of a suspect
-// machine is not waited for any longer when scaling out would replace it. A
-// worker whose heartbeat got lost would have been heard by then: it turns to
-// another controller after 5 s at the latest, which sends it back.
+// UnreachableAfter returns the silence after which scaling out may replace the capacity
+// of a suspect machine. A heartbeat that was merely lost would have been retried by then:
+// the worker contacts another controller after at most 5 s, which redirects it here.
 func (t Timing) UnreachableAfter() time.Duration { return t.HeartbeatInterval * 5 / 2 }
 
-// FewSilentAfter returns the silence of a few machines that is no coincidence. A worker
-// whose heartbeat got lost waits 4 s, and tries the controllers that it can't reach,
-// before it is heard again: until then it may have missed two heartbeats.
+// FewSilentAfter returns the silence after which individual lost heartbeats no longer
+// explain why a few machines are silent. After a lost heartbeat a worker waits 4 s and
+// tries unreachable controllers before its next heartbeat arrives, and may have missed
+// two heartbeats by then.
 func (t Timing) FewSilentAfter() time.Duration { return t.HeartbeatInterval * 4 }
 
-// ReopenDelay returns how long a controller that has stepped down opens no
-// session. The leader gives a shard to the live controller that has least: one
-// that were back at once, and still isolated, would be preferred for what the
-// next isolated controller gives up.
+// ReopenDelay returns how long a controller waits after stepping down before it opens a
+// new session. The leader grants a shard to the least loaded live controller, so a
+// controller that returned at once while still isolated would be preferred for the shards
+// of the next isolated controller.
 func (t Timing) ReopenDelay() time.Duration { return 2 * t.SuspectAfter() }
--- a/internal/failuredetector/view.go
+++ b/internal/failuredetector/view.go
@@ -2,46 +2,46 @@
 
 import "time"
 
-// Machine is the silence of a machine. Only machines that have sent a heartbeat,
-// or whose leases have expired, are evaluated.
+// Machine is the input of Evaluate for one machine. Only machines that have sent a
+// heartbeat, or whose leases have expired, are evaluated.
 type Machine struct {
 	Zone    int           // from 0
-	Silence time.Duration // since its newest heartbeat, or since the controller could receive any if that is later
-	Expired bool          // silent until its worker's lease expired, and not known to be gone for good
+	Silence time.Duration // since its latest heartbeat, or since the controller could receive any if that is later
+	Expired bool          // silent until its worker's lease expired, and not known to be removed permanently
 }
 
-// State is what a machine is worth for new work.
+// State is the availability of a machine for new tasks.
 type State uint8
 
 // States of a machine.
 const (
 	Healthy     State = iota
-	Suspect           // gets no new tasks; its capacity is waited for
-	Unreachable       // gets no new tasks; its capacity is not waited for
+	Suspect           // gets no new tasks; its capacity is expected to return
+	Unreachable       // gets no new tasks; its capacity may be replaced
 )
 
-// View is what the silence of all machines of a controller amounts to.
+// View is the result of evaluating all machines of a controller.
 type View struct {
 	States           []State // of the machines, in the order given
-	UnreachableZones []bool  // by zone: nearly all of its machines are silent, while others are heard
-	// Inconclusive means that nearly all machines of all zones are silent. More
-	// likely than all of them the controller itself is cut off, so all states are
-	// Healthy, and no zone is unreachable. Scaling out to replace what is silent
-	// would not help: see MaxProbes.
+	UnreachableZones []bool  // by zone: nearly all of its machines are silent, but most others are not
+	// Inconclusive means that nearly all machines of all zones are silent. It is
+	// more likely that the controller itself is isolated than that all machines
+	// have failed, so all states are Healthy and no zone is unreachable. Scaling
+	// out to replace the silent machines would not help: see MaxProbes.
 	Inconclusive bool
 }
 
 const (
-	// correlatedFailureRatio is the part of the machines of a zone, or of all, that must
-	// be silent to count as a common loss. Below 1, since a few heartbeats may
-	// have arrived just before the loss.
+	// correlatedFailureRatio is the fraction of the machines of a zone, or of all
+	// machines, that must be silent to count as a correlated failure. It is below 1
+	// because a few heartbeats may have arrived just before the failure.
 	correlatedFailureRatio = 0.85
-	// minCorrelatedFailure is the number of machines below which silence is not taken for
-	// a common loss: so few may well fail independently.
+	// minCorrelatedFailure is the minimum number of machines for a correlated failure:
+	// fewer may well fail independently.
 	minCorrelatedFailure = 4
 )
 
-// silenceCount counts machines, and those of them that are silent.
+// silenceCount counts silent machines and all machines of a group.
 type silenceCount struct{ silent, total int }
 
 func (c *silenceCount) add(silent bool) {
@@ -51,16 +51,16 @@
 	}
 }
 
-// isCorrelatedFailure reports whether so many are silent that they have a common cause.
+// isCorrelatedFailure reports whether enough machines are silent to assume a common cause.
 func (c silenceCount) isCorrelatedFailure() bool {
 	return c.total >= minCorrelatedFailure && float64(c.silent) >= correlatedFailureRatio*float64(c.total)
 }
 
-// isMinority reports whether less than half are silent.
+// isMinority reports whether fewer than half of the machines are silent.
 func (c silenceCount) isMinority() bool { return 2*c.silent < c.total }
 
-// Evaluate returns the view of a controller on its machines. Their zones are
-// numbered from 0 to zones-1.
+// Evaluate classifies the machines of a controller. Their zones are numbered from 0 to
+// zones-1.
 func (t Timing) Evaluate(zones int, machines []Machine) View {
 	v := View{States: make([]State, len(machines)), UnreachableZones: make([]bool, zones)}
 	byZone := make([]silenceCount, zones)
@@ -76,8 +76,8 @@
 	}
 	for zone, count := range byZone {
 		others := silenceCount{silent: all.silent - count.silent, total: all.total - count.total}
-		// While the others fall silent too, the view is on its way to being
-		// inconclusive, and the zone is not the cause.
+		// If the other zones are becoming silent too, the view is about to become
+		// inconclusive, and the failure is not specific to this zone.
 		v.UnreachableZones[zone] = count.isCorrelatedFailure() && others.isMinority()
 	}
 	for i, m := range machines {
@@ -86,7 +86,7 @@
 	return v
 }
 
-// isSilent reports whether a machine has missed a heartbeat.
+// isSilent reports whether the machine has missed a heartbeat or its lease has expired.
 func (t Timing) isSilent(m Machine) bool { return m.Expired || m.Silence > t.SuspectAfter() }
 
 func (t Timing) stateOf(m Machine, zoneUnreachable bool) State {
@@ -100,10 +100,10 @@
 	}
 }
 
-// machinesPerProbe relates probes to the machines that they could replace.
+// machinesPerProbe is the number of silent machines for each additional probe machine.
 const machinesPerProbe = 64
 
-// MaxProbes returns how many new machines a controller with an inconclusive view
-// may have booting in place of those that are silent. If one of them is heard,
-// the silent ones were lost, and the view becomes conclusive.
+// MaxProbes returns how many replacement machines a controller with an inconclusive view
+// may have booting. A heartbeat from one of them shows that the silent machines have
+// failed, and the view becomes conclusive.
 func MaxProbes(machines int) int { return 1 + machines/machinesPerProbe }
--- a/internal/failuredetector/view_test.go
+++ b/internal/failuredetector/view_test.go
@@ -6,9 +6,8 @@
 	"time"
 )
 
-// Of random deployments in which machines fail one by one, a zone is cut off or
-// nobody is heard, each failure is recognized in time, and none is that has not
-// happened.
+// In random deployments with independent failures, the loss of a zone or the loss of all
+// heartbeats, each failure is detected in time and there are no false positives.
 func TestEvaluateTellsFailuresApart(t *testing.T) {
 	for seed := range uint64(300) {
 		rnd := rand.New(rand.NewPCG(seed, 2))
@@ -21,14 +20,14 @@
 		for now := time.Duration(0); now < 100*time.Second; now += 250 * time.Millisecond {
 			machines := f.machinesAt(now)
 			v := testTiming.Evaluate(zones, machines)
-			// By then the longest interval between two heartbeats has passed.
+			// Includes the longest interval between two heartbeats.
 			recognized := now > from+testTiming.SuspectAfter()+testTiming.HeartbeatInterval*5/4
 			if v.Inconclusive != inconclusive && (recognized || !inconclusive) {
 				t.Fatalf("seed %d, failure of %v: inconclusive %v at %v", seed, kind, v.Inconclusive, now)
 			}
 			for zone, unreachable := range v.UnreachableZones {
 				want := zone == failedZone && !inconclusive
-				// On the way to being inconclusive a zone may seem to be unreachable.
+				// Before the view becomes inconclusive, a zone may appear unreachable.
 				if unreachable != want && (recognized || unreachable && !inconclusive) {
 					t.Fatalf("seed %d, failure of %v: zone %d unreachable %v at %v", seed, kind, zone, unreachable, now)
 				}
@@ -39,7 +38,7 @@
 				case inconclusive && recognized && state != Healthy, state != Healthy && !failed:
 					t.Fatalf("seed %d, failure of %v: machine %d, silent for %v, has state %d at %v", seed, kind, i, m.Silence, state, now)
 				case !inconclusive && state == Healthy && now > f.failsAt[i]+testTiming.SuspectAfter():
-					t.Fatalf("seed %d, failure of %v: machine %d is taken for healthy at %v, failed at %v", seed, kind, i, now, f.failsAt[i])
+					t.Fatalf("seed %d, failure of %v: machine %d is considered healthy at %v, failed at %v", seed, kind, i, now, f.failsAt[i])
 				}
 			}
 		}
--- a/internal/heartbeatproxy/delegation.go
+++ b/internal/heartbeatproxy/delegation.go
@@ -8,31 +8,31 @@
 
 // Timing holds the bounds on how long a machine stays delegated.
 type Timing struct {
-	// DelegationTimeout is how long a desired machine may take to send its first
-	// heartbeat here, and how long the holder may take to acknowledge it.
+	// DelegationTimeout bounds the time until a desired machine sends its first
+	// heartbeat here, and the time until the holder acknowledges it.
 	DelegationTimeout time.Duration
 	// WorkerExpiry is the silence after which a worker has dropped its tasks.
 	WorkerExpiry time.Duration
 }
 
-// Record is what the key-value store shows of a machine. Only a record counts
-// that the present session of this controller wrote under the shard's present
-// fencing token.
+// Record is the state of a machine's delegation in the key-value store. Only records
+// written by the current session of this controller under the shard's current fencing
+// token are valid.
 type Record struct {
 	Revision     uint64 // of the record that lists the machine
-	Acknowledged bool   // the shard's present holder has acknowledged that revision for the machine
-	Fence        Fence  // with the acknowledgement
+	Acknowledged bool   // the shard's current holder has acknowledged that revision for the machine
+	Fence        Fence  // part of the acknowledgement
 }
 
-// Fence is what the holder has done so that its unanswered direct starts have no
-// effect on a machine any more once a proxy has answered it.
+// Fence prevents unanswered direct starts of the holder from taking effect on a machine
+// after a proxy has answered the machine's heartbeat.
 type Fence struct {
-	// Token is the fencing token that the machine was given for this; 0: none
-	// was. A worker that has seen it refuses what was sent before.
+	// Token is the fencing token issued to the machine for this purpose; 0 if none was
+	// issued. A worker that has seen it rejects messages with older tokens.
 	Token uint64
-	// Starts are the attempts that were sent before. One of them may reach the
-	// worker between a heartbeat and its response, so every response has to stop
-	// those whose jobs have ended, whether or not the heartbeat lists them.
+	// Starts are the attempts whose starts were sent before. One of them may reach the
+	// worker between a heartbeat and its response, so every response must stop those
+	// whose jobs have ended, whether or not the heartbeat lists them.
 	Starts []Attempt
 }
 
@@ -42,15 +42,15 @@
 	Number uint64
 }
 
-// Delegation is the set of machines of one shard that a controller answers for,
-// or wants to. It is not safe for concurrent use.
+// Delegation is the set of machines of one shard whose heartbeats a controller answers or
+// intends to answer. It is not safe for concurrent use.
 type Delegation struct {
 	timing   Timing
 	active   bool // the holder is unreachable
 	machines map[string]*machine
 }
 
-// New returns an inactive delegation of no machines.
+// New returns an inactive delegation without machines.
 func New(t Timing) *Delegation { return &Delegation{timing: t, machines: map[string]*machine{}} }
 
 func (d *Delegation) getOrAdd(name string) *machine {
@@ -62,10 +62,10 @@
 	return m
 }
 
-// Activate begins answering for the holder, which is unreachable. names are its
-// machines in this controller's zone. All of them become desired at once, not
-// only when they turn to this controller: the workers that are cut off need an
-// answer before their leases expire. It does nothing on an active delegation.
+// Activate begins answering in place of the unreachable holder. names are the holder's
+// machines in this controller's zone. All of them become desired at once, before they
+// contact this controller, because workers that can't reach the holder need a response
+// before their leases expire. Activate has no effect on an active delegation.
 func (d *Delegation) Activate(names []string, now time.Time) {
 	if d.active {
 		return
@@ -76,12 +76,12 @@
 	}
 }
 
-// IsActive reports whether the holder is taken for unreachable.
+// IsActive reports whether the holder is considered unreachable.
 func (d *Delegation) IsActive() bool { return d.active }
 
-// Deactivate ends answering for the holder: it is reachable again, or there is
-// no other holder. No heartbeat is answered from now on; the records are to be
-// removed as Desired shows.
+// Deactivate stops answering in place of the holder, because the holder is reachable again
+// or the shard has no other holder. Heartbeats are no longer answered, and Desired no
+// longer returns the machines, so that the caller removes their records.
 func (d *Delegation) Deactivate() {
 	d.active = false
 	for _, m := range d.machines {
@@ -89,8 +89,8 @@
 	}
 }
 
-// RecordHeartbeat records that a machine of this controller's zone has sent a
-// heartbeat here, and makes it desired.
+// RecordHeartbeat records a heartbeat that a machine of this controller's zone has sent to
+// this controller, and makes the machine desired.
 func (d *Delegation) RecordHeartbeat(name string, now time.Time) {
 	if !d.active {
 		return
@@ -100,8 +100,8 @@
 	m.request(now)
 }
 
-// ObserveRecords records what the key-value store shows, by machine. It returns, of each
-// machine that may be answered from now on, for how long it was desired and not
+// ObserveRecords records the state in the key-value store, by machine. For each machine
+// that may be answered from now on, it returns how long the machine was desired but not
 // acknowledged.
 func (d *Delegation) ObserveRecords(records map[string]Record, now time.Time) (delays []time.Duration) {
 	for name := range records {
@@ -117,8 +117,8 @@
 	return delays
 }
 
-// Desired returns the sorted names of the machines that the records should list.
-// Those whose time has run out are dropped first.
+// Desired returns the sorted names of the machines that the records should list, after
+// dropping those that have timed out.
 func (d *Delegation) Desired(now time.Time) []string {
 	var names []string
 	for name, m := range d.machines {
@@ -133,9 +133,9 @@
 	return names
 }
 
-// NeedsWrite reports whether the records have to be written, given what they
-// show: they don't list what is desired, or a removal that is not known to have
-// failed may still take a desired machine out of them.
+// NeedsWrite reports whether the records must be written: either they don't list exactly
+// the desired machines, or a pending removal whose result is unknown may still remove a
+// desired machine from them.
 func (d *Delegation) NeedsWrite(desired []string, records map[string]Record) bool {
 	if !slices.Equal(desired, slices.Sorted(maps.Keys(records))) {
 		return true
@@ -146,11 +146,10 @@
 	})
 }
 
-// BeginRemoval must be called before a write is sent that lists only the kept
-// machines, given in order. revision is that of the copy of the records which
-// the write is based on. The other machines are not answered any more until a
-// record newer than that lists them: before then the write may be carried out
-// at any time, even if it went without a response.
+// BeginRemoval must be called before a write is sent that lists only the kept machines,
+// which are given in sorted order. revision is the revision of the records on which the
+// write is based. The other machines are not answered until a newer record lists them:
+// until then the write may be executed at any time, even if it got no response.
 func (d *Delegation) BeginRemoval(kept []string, revision uint64) {
 	for name, m := range d.machines {
 		if _, isKept := slices.BinarySearch(kept, name); !isKept && m.revision != 0 {
@@ -159,23 +158,22 @@
 	}
 }
 
-// CanAnswer reports whether a heartbeat of the machine may be answered. Besides,
-// the caller must hold its own lease, and a copy of the records that is recent
-// enough to act on.
+// CanAnswer reports whether a heartbeat of the machine may be answered. The caller must
+// additionally hold a valid lease and a sufficiently recent copy of the records.
 func (d *Delegation) CanAnswer(name string) bool {
 	m := d.machines[name]
 	return d.active && m != nil && m.canAnswer()
 }
 
-// AwaitsAcknowledgement reports whether a heartbeat of the machine may be answered as soon
-// as the records show that the holder has acknowledged it.
+// AwaitsAcknowledgement reports whether the machine is desired but its heartbeats can't be
+// answered until the records show the holder's acknowledgement.
 func (d *Delegation) AwaitsAcknowledgement(name string) bool {
 	m := d.machines[name]
 	return d.active && m != nil && m.desired && !m.canAnswer()
 }
 
-// Fence returns the fence of a machine. Every response to one that has a fence
-// must carry its token, and stop those of its starts whose jobs have ended.
+// Fence returns the fence of a machine. Every response to a fenced machine must carry the
+// fence's token, and stop those of its starts whose jobs have ended.
 func (d *Delegation) Fence(name string) Fence {
 	if m := d.machines[name]; m != nil {
 		return m.fence
@@ -183,7 +181,7 @@
 	return Fence{}
 }
 
-// CountAnswerable returns the number of machines that CanAnswer holds for.
+// CountAnswerable returns the number of machines for which CanAnswer is true.
 func (d *Delegation) CountAnswerable() int {
 	n := 0
 	for name := range d.machines {
@@ -194,6 +192,6 @@
 	return n
 }
 
-// IsEmpty reports whether no machine is desired or listed, so that the
-// delegation can be discarded.
+// IsEmpty reports whether the delegation is inactive and no machine is desired or listed,
+// so that it can be discarded.
 func (d *Delegation) IsEmpty() bool { return !d.active && len(d.machines) == 0 }
--- a/internal/heartbeatproxy/delegation_test.go
+++ b/internal/heartbeatproxy/delegation_test.go
@@ -10,9 +10,9 @@
 
 var testTime = time.Unix(1e9, 0)
 
-// A holder never takes a task for lost that a proxy's answers keep running, and
-// no start outlives the lease under which it was sent, whatever is delayed, and
-// whenever the delegation is activated, deactivated and activated again.
+// A holder never declares a task lost that a proxy's responses keep running, and no start
+// outlives the lease under which it was sent, regardless of message delays and of when the
+// delegation is activated, deactivated and reactivated.
 func TestDelegatedMachinesAreNeverTakenForLost(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		if violation := runRandomEvents(t, omissions{}); violation != "" {
@@ -21,13 +21,13 @@
 	})
 }
 
-// The model finds a proxy that doesn't wait for the holder's acknowledgement,
-// and a holder that acknowledges though a start is unanswered.
+// The model detects a proxy that doesn't wait for the holder's acknowledgement, and a
+// holder that acknowledges although a start is unanswered.
 func TestModelFindsMissingGuards(t *testing.T) {
 	for name, omitted := range map[string]omissions{
 		"acknowledgement": {acknowledgement: true, noStarts: true},
 		"pending starts":  {pendingStarts: true},
-		// Of relays: the holder has to be asked, and the worker to keep its deadline.
+		// Relays: the holder must be asked, and the worker must enforce its response timeout.
 		"holder's answer":  {holderUnasked: true, noStarts: true},
 		"response timeout": {responseTimeout: true},
 	} {
@@ -45,8 +45,8 @@
 	}
 }
 
-// An unanswered start has no effect once its machine is answered by a proxy: the
-// orders of events in which it would, were its fence left out.
+// An unanswered start has no effect once a proxy has answered its machine. These event
+// sequences violate this without the fence.
 func TestModelFindsMissingFence(t *testing.T) {
 	delegate := []string{"holder answers", "send start", "activate", "send record", "write executed", "holder copy updated",
 		"send acknowledgement", "write executed", "proxy copy updated"}
@@ -71,8 +71,8 @@
 	}
 }
 
-// A write is sent again before it is given up: the order of events in which a copy of a
-// removal would do harm, were it not sent on the preconditions of the first.
+// A write is sent again before it times out. In this event sequence a copy of a removal
+// causes a violation unless it has the preconditions of the first.
 func TestModelFindsCopyWithoutPreconditions(t *testing.T) {
 	delegate := []string{"holder copy updated", "send acknowledgement", "newest write executed", "proxy copy updated"}
 	events := slices.Concat([]string{"activate", "send record", "write executed"}, delegate,
@@ -88,7 +88,7 @@
 	}
 }
 
-// checkDesired checks which machines a delegation wants to have listed.
+// checkDesired checks which machines a delegation desires.
 func checkDesired(t *testing.T, d *Delegation, now time.Time, want ...string) {
 	t.Helper()
 	if got := d.Desired(now); !slices.Equal(got, want) {
@@ -96,8 +96,8 @@
 	}
 }
 
-// A machine that sends no heartbeats to the proxy is left to its holder; one
-// that does stays delegated until it is silent for as long as its tasks last.
+// A machine that sends no heartbeats to the proxy is left to its holder. One that does
+// remains delegated until it has been silent for Timing.WorkerExpiry.
 func TestSilentMachinesAreLeftToHolder(t *testing.T) {
 	after := func(seconds int) time.Time { return testTime.Add(time.Duration(seconds) * time.Second) }
 	d := New(modelTiming)
@@ -110,8 +110,8 @@
 	checkDesired(t, d, after(40))
 }
 
-// A machine that the holder does not acknowledge is left to it until it is
-// reachable again.
+// A machine that the holder does not acknowledge is left to the holder until the holder
+// is reachable again.
 func TestUnacknowledgedMachinesAreLeftToHolder(t *testing.T) {
 	now := testTime
 	d := New(modelTiming)
@@ -127,8 +127,8 @@
 	checkDesired(t, d, now, "a")
 }
 
-// A removal without a response may be carried out later: the machine is answered
-// again only once a newer record lists it.
+// A removal without a response may be executed later: the machine is answered again only
+// after a newer record lists it.
 func TestNoAnswersWhileRemovalMayBeUnderWay(t *testing.T) {
 	d := New(modelTiming)
 	observe := func(r Record) { d.ObserveRecords(map[string]Record{"a": r}, testTime) }
@@ -146,7 +146,7 @@
 	d.Activate([]string{"a"}, testTime)
 	observe(Record{Revision: 7, Acknowledged: true})
 	if d.CanAnswer("a") || !d.NeedsWrite([]string{"a"}, map[string]Record{"a": {Revision: 7, Acknowledged: true}}) {
-		t.Error("answered under a record that a late write may remove, or not written anew")
+		t.Error("answered under a record that a late write may remove, or not written again")
 	}
 	observe(Record{Revision: 12, Acknowledged: true})
 	if !d.CanAnswer("a") {
@@ -154,8 +154,8 @@
 	}
 }
 
-// Heartbeats are answered only between activation and deactivation, and what a
-// machine sent before does not count in the next activation.
+// Heartbeats are answered only between activation and deactivation, and earlier heartbeats
+// do not count in the next activation.
 func TestNoAnswersWhileInactive(t *testing.T) {
 	d := New(modelTiming)
 	d.RecordHeartbeat("a", testTime)
@@ -178,7 +178,7 @@
 	checkDesired(t, d, testTime)
 }
 
-// A delegation can be discarded only once its records are gone.
+// A delegation can be discarded only after its records have been removed.
 func TestDelegationIsEmptyOnceRecordsAreRemoved(t *testing.T) {
 	d := New(modelTiming)
 	d.Activate([]string{"a"}, testTime)
--- a/internal/heartbeatproxy/machine.go
+++ b/internal/heartbeatproxy/machine.go
@@ -2,25 +2,25 @@
 
 import "time"
 
-// machine is the delegation of one machine: what this controller wants, and
-// what the key-value store shows.
+// machine is the delegation of one machine: the state desired by this controller and the
+// state in the key-value store.
 type machine struct {
-	desired      bool // it is to be listed in a record
+	desired      bool // should be listed in a record
 	desiredSince time.Time
-	// leftToHolder keeps it from becoming desired again before the holder is
-	// reachable: the holder does not acknowledge it.
+	// leftToHolder prevents the machine from becoming desired again before the
+	// holder is reachable, because the holder did not acknowledge it.
 	leftToHolder  bool
-	lastHeartbeat time.Time // to this controller; zero: none
+	lastHeartbeat time.Time // received by this controller; zero: none
 
-	revision     uint64 // of the record that lists it; 0: none does
-	acknowledged bool   // by the holder, under that very revision
-	fence        Fence  // with the acknowledgement
+	revision     uint64 // of the record that lists the machine; 0: none
+	acknowledged bool   // by the holder, for exactly that revision
+	fence        Fence  // part of the acknowledgement
 	// unacknowledgedSince is valid while the machine is desired and not
 	// acknowledged.
 	unacknowledgedSince time.Time
-	// removalRevision is the revision of the records as of which the last write
-	// without the machine was sent; 0: none was. That write may be carried out
-	// later for as long as the record is not newer.
+	// removalRevision is the revision of the records on which the last write without
+	// the machine was based; 0: none was sent. That write may still be executed while
+	// the record is not newer.
 	removalRevision uint64
 }
 
@@ -32,12 +32,12 @@
 	m.desired, m.desiredSince, m.unacknowledgedSince = true, now, now
 }
 
-// cancel ends what this controller wants, until it is requested again.
+// cancel makes the machine undesired until it is requested again.
 func (m *machine) cancel() {
 	m.desired, m.leftToHolder, m.lastHeartbeat = false, false, time.Time{}
 }
 
-// observe records what the key-value store shows.
+// observe records the state in the key-value store.
 func (m *machine) observe(record Record, now time.Time) {
 	if m.acknowledged && !record.Acknowledged {
 		m.unacknowledgedSince = now
@@ -45,9 +45,9 @@
 	m.revision, m.acknowledged, m.fence = record.Revision, record.Acknowledged, record.Fence
 }
 
-// expire ends a desire that has come to nothing. A machine that sends no
-// heartbeats here reaches its holder, or is dead; one that is not acknowledged
-// drops its tasks. Both are for the holder to judge.
+// expire makes the machine undesired after a timeout. A machine that sends no heartbeats
+// here either reaches its holder or has failed; one that is not acknowledged drops its
+// tasks. Both cases are left to the holder.
 func (m *machine) expire(timing Timing, now time.Time) {
 	switch {
 	case !m.desired:
@@ -58,8 +58,8 @@
 	}
 }
 
-// isSilent reports whether a desired machine has not sent a first heartbeat in
-// time, or none for so long that it has dropped its tasks.
+// isSilent reports whether a desired machine has not sent its first heartbeat in time, or
+// has sent none for so long that it has dropped its tasks.
 func (m *machine) isSilent(timing Timing, now time.Time) bool {
 	if m.lastHeartbeat.IsZero() {
 		return now.Sub(m.desiredSince) > timing.DelegationTimeout
@@ -67,8 +67,8 @@
 	return now.Sub(m.lastHeartbeat) > timing.WorkerExpiry
 }
 
-// canAnswer reports whether the holder counts on heartbeats of the machine being
-// answered here, and will for as long as they are.
+// canAnswer reports whether the holder relies on this controller to answer heartbeats of
+// the machine, and no pending removal can change that.
 func (m *machine) canAnswer() bool {
 	return m.desired && m.acknowledged && m.revision > m.removalRevision
 }
--- a/internal/heartbeatproxy/model_test.go
+++ b/internal/heartbeatproxy/model_test.go
@@ -7,17 +7,17 @@
 	"pgregory.net/rapid"
 )
 
-// The model counts time in ticks of a second. One machine of a shard runs a
-// task. Its holder and a proxy each follow, with a delay, the proxy's record, the
-// holder's acknowledgement and the cancellation of a second task, which the
-// holder starts by direct messages that may arrive at any later time. The worker
-// has one heartbeat in flight: to the proxy, to the holder, or to a controller that
-// relays it to the holder, where it may arrive at any later time.
+// The model advances in ticks of one second. One machine of a shard runs a task. The
+// holder and a proxy observe with a delay the proxy's record, the holder's acknowledgement
+// and the cancellation of a second task, which the holder starts by direct messages that
+// may arrive at any later time. The worker has one heartbeat in flight: to the proxy, to
+// the holder, or to a controller that relays it to the holder, where it may arrive at any
+// later time.
 const (
-	modelCopyAge     = 4 // a copy of the records on which a controller acts is younger than this
-	modelWorkerLease = 9 // a worker keeps its tasks for so long after it sent a heartbeat that was answered
+	modelCopyAge     = 4 // maximum age of a copy of the records on which a controller acts
+	modelWorkerLease = 9 // how long a worker keeps its tasks after sending a heartbeat that was answered
 	modelExpiry      = modelWorkerLease + 1
-	modelMaxResponse = 4 // a worker drops a response that comes so long after its heartbeat
+	modelMaxResponse = 4 // a worker discards a response that arrives later than this after its heartbeat
 	modelFirstToken  = 1
 	modelMachine     = "host-1"
 	modelTask        = "wk-1/0"
@@ -25,7 +25,7 @@
 
 var modelTiming = Timing{DelegationTimeout: 30 * time.Second, WorkerExpiry: modelExpiry * time.Second}
 
-// storedRecords is what the key-value store contains from a tick on.
+// storedRecords is the content of the key-value store from a tick on.
 type storedRecords struct {
 	from         int
 	revision     uint64 // of the record that lists the machine; 0: none does
@@ -35,36 +35,36 @@
 	cancelled    bool   // the second task's job has ended
 }
 
-// pendingWrite is a transaction that is under way.
+// pendingWrite is a transaction in flight.
 type pendingWrite struct {
 	precondition    uint64 // the record's revision
 	listsMachine    bool
 	acknowledgement bool   // by the holder
 	fence           Fence  // with it
-	token           uint64 // the newest fencing token as the holder knows it
+	token           uint64 // the newest fencing token known to the holder
 	unconditional   bool   // it has no precondition
 }
 
-// omissions are the safeguards that a test leaves out.
+// omissions are the safeguards that a test disables.
 type omissions struct {
 	acknowledgement bool // the proxy does not wait for it
 	pendingStarts   bool // the holder acknowledges though a start is unanswered, without a newer token
 	oldToken        bool // the proxy answers with the token as it was before the acknowledgement
 	fencedStarts    bool // the acknowledgement does not name the starts
-	noStarts        bool // nothing is sent straight to the worker
+	noStarts        bool // the holder sends no direct messages to the worker
 	holderUnasked   bool // a relay answers without the holder's answer
-	responseTimeout bool // the worker takes a relayed response that it has given up
-	copyConditions  bool // a copy of a write has no preconditions
+	responseTimeout bool // the worker accepts a relayed response after its timeout
+	copyConditions  bool // a retransmitted write has no preconditions
 }
 
-// keptHeartbeat is a heartbeat that the proxy keeps until it may answer.
+// keptHeartbeat is a heartbeat that the proxy retains until it may answer.
 type keptHeartbeat struct {
-	sequence uint64 // 0: none is kept
+	sequence uint64 // 0: none is retained
 	sentAt   int
 	lists    bool // the second task is on the worker
 }
 
-// relayedHeartbeat is a heartbeat that a relay has sent to the holder.
+// relayedHeartbeat is a heartbeat that a relay has forwarded to the holder.
 type relayedHeartbeat struct {
 	sequence uint64
 	sentAt   int    // by the worker
@@ -72,7 +72,7 @@
 	lists    bool   // the second task is on the worker
 }
 
-// relayedResponse is the holder's response to a relayed heartbeat, under way to the
+// relayedResponse is the holder's response to a relayed heartbeat, in flight to the
 // worker.
 type relayedResponse struct {
 	sequence uint64
@@ -82,15 +82,15 @@
 	stops    bool // it stops the second task
 }
 
-// workerResponse is a proxy's response to a heartbeat, under way to the worker.
+// workerResponse is a proxy's response to a heartbeat, in flight to the worker.
 type workerResponse struct {
 	sentAt int // when the heartbeat was sent
 	token  uint64
 	stops  bool // it stops the second task
 }
 
-// proxyModel is the store with its past, the writes under way, and the holder,
-// the proxy and the worker.
+// proxyModel consists of the store with its history, the writes in flight, the holder, the
+// proxy and the worker.
 type proxyModel struct {
 	omitted  omissions
 	now      int
@@ -98,24 +98,24 @@
 	writes   []pendingWrite
 	revision uint64
 
-	holderCopy, proxyCopy int    // the ticks as of which their copies of the records are
-	lastAnswered          int    // by the holder, or listed by a record that it knows
-	lost                  bool   // the holder has taken the task for lost
-	startUnconfirmed      bool   // the holder doesn't know what became of its start
-	startToken            uint64 // under which it was sent last
+	holderCopy, proxyCopy int    // the ticks of their copies of the records
+	lastAnswered          int    // tick of the last heartbeat answered by the holder, or of a known delegation record
+	lost                  bool   // the holder has declared the task lost
+	startUnconfirmed      bool   // the holder doesn't know the outcome of its start
+	startToken            uint64 // under which the start was last sent
 
 	delegation *Delegation
 	kept       keptHeartbeat // by the proxy
 
 	leaseExpiresAt int            // the worker's
 	workerToken    uint64         // the newest that it has seen
-	response       workerResponse // under way to it; zero sentAt: none
-	lateStarts     []uint64       // tokens of the starts under way to the worker
+	response       workerResponse // in flight to the worker; zero sentAt: none
+	lateStarts     []uint64       // tokens of the starts in flight to the worker
 	sequence       uint64         // of its newest heartbeat
 	awaited        uint64         // the sequence of the relayed heartbeat that it waits for; 0: none
 
-	relayed      []relayedHeartbeat // under way to the holder
-	responses    []relayedResponse  // under way from it
+	relayed      []relayedHeartbeat // in flight to the holder
+	responses    []relayedResponse  // in flight from the holder
 	holderNewest uint64             // the newest sequence that the holder has received
 	startRuns    bool               // the second task is on the worker
 	cancelledAt  int                // when the second task's job ended; 0: it has not
@@ -149,10 +149,10 @@
 // isRunning reports whether the worker still has its task.
 func (w *proxyModel) isRunning() bool { return w.now <= w.leaseExpiresAt }
 
-// tick lets a second pass.
+// tick advances time by one second.
 func (w *proxyModel) tick() {
 	if w.now++; !w.isRunning() {
-		w.lateStarts, w.startRuns, w.startUnconfirmed = nil, false, false // its next session refuses them
+		w.lateStarts, w.startRuns, w.startUnconfirmed = nil, false, false // its next session rejects them
 	}
 	w.holderCopy = max(w.holderCopy, w.now-modelCopyAge+1)
 	w.proxyCopy = max(w.proxyCopy, w.now-modelCopyAge+1)
@@ -160,8 +160,8 @@
 	w.observeRecords()
 }
 
-// runHolder is what a holder does all the time: it takes a machine for lost that
-// has neither been answered nor listed for long enough.
+// runHolder runs the holder's periodic check: it declares a machine lost that has neither
+// been answered nor listed for longer than modelExpiry.
 func (w *proxyModel) runHolder() {
 	if w.recordsAt(w.holderCopy).revision != 0 {
 		w.lastAnswered = w.now
@@ -171,7 +171,7 @@
 	}
 }
 
-// proxyRecords returns what the proxy's copy shows.
+// proxyRecords returns the proxy's copy of the records.
 func (w *proxyModel) proxyRecords() map[string]Record {
 	r := w.recordsAt(w.proxyCopy)
 	if r.revision == 0 {
@@ -186,8 +186,8 @@
 
 func (w *proxyModel) observeRecords() { w.delegation.ObserveRecords(w.proxyRecords(), w.time()) }
 
-// sendRecord has the proxy send what is to be written; it is carried out at any
-// later time, or never.
+// sendRecord makes the proxy send the necessary write, which is executed at any later time
+// or never.
 func (w *proxyModel) sendRecord() {
 	desired, records := w.delegation.Desired(w.time()), w.proxyRecords()
 	if !w.delegation.NeedsWrite(desired, records) {
@@ -197,8 +197,8 @@
 	w.writes = append(w.writes, pendingWrite{precondition: records[modelMachine].Revision, listsMachine: len(desired) > 0})
 }
 
-// sendAcknowledgement has the holder send one. If a start is unanswered it goes
-// with a newer token, unless the machine has one already.
+// sendAcknowledgement makes the holder acknowledge the delegation. If a start is
+// unanswered, the acknowledgement includes a newer token unless the machine has one already.
 func (w *proxyModel) sendAcknowledgement() {
 	r := w.recordsAt(w.holderCopy)
 	if r.revision == 0 || w.lost {
@@ -219,7 +219,7 @@
 	w.writes = append(w.writes, write)
 }
 
-// sendStart has the holder send a start straight to the worker.
+// sendStart makes the holder send a direct start to the worker.
 func (w *proxyModel) sendStart() {
 	r := w.recordsAt(w.holderCopy)
 	if w.lost || r.revision != 0 || r.cancelled || w.startUnconfirmed || w.startRuns || w.omitted.noStarts {
@@ -229,7 +229,7 @@
 	w.lateStarts = append(w.lateStarts, r.token)
 }
 
-// startArrives has a direct start reach the worker.
+// startArrives delivers a direct start to the worker.
 func (w *proxyModel) startArrives() {
 	if len(w.lateStarts) == 0 {
 		return
@@ -252,14 +252,14 @@
 	w.history = append(w.history, next)
 }
 
-// repeatWrite has a write that is under way sent once more.
+// repeatWrite retransmits a write that is in flight.
 func (w *proxyModel) repeatWrite(i int) {
 	repeated := w.writes[i]
 	repeated.unconditional = w.omitted.copyConditions
 	w.writes = append(w.writes, repeated)
 }
 
-// executeWrite carries a write out, if the record is still as it was read.
+// executeWrite executes a write if its preconditions hold.
 func (w *proxyModel) executeWrite(i int) {
 	write := w.writes[i]
 	w.writes = slices.Delete(w.writes, i, i+1)
@@ -282,14 +282,14 @@
 	w.history = append(w.history, next)
 }
 
-// beginHeartbeat has the worker give up the heartbeat that it has in flight, if any,
-// and make a new one.
+// beginHeartbeat makes the worker abandon its heartbeat in flight, if any, and create a
+// new one.
 func (w *proxyModel) beginHeartbeat() {
 	w.sequence++
 	w.awaited, w.response = 0, workerResponse{}
 }
 
-// relayHeartbeat has the worker's heartbeat reach a controller that relays it.
+// relayHeartbeat delivers the worker's heartbeat to a controller that relays it.
 func (w *proxyModel) relayHeartbeat() {
 	if !w.isRunning() {
 		return
@@ -302,8 +302,8 @@
 	}
 }
 
-// relayedArrives has a relayed heartbeat reach the holder, which answers if it is the
-// newest that it has received.
+// relayedArrives delivers a relayed heartbeat to the holder, which answers if it is the
+// newest received so far.
 func (w *proxyModel) relayedArrives(i int) {
 	heartbeat := w.relayed[i]
 	w.relayed = slices.Delete(w.relayed, i, i+1)
@@ -324,7 +324,7 @@
 	})
 }
 
-// relayedResponseArrives has the worker receive the holder's response from the relay.
+// relayedResponseArrives delivers the holder's relayed response to the worker.
 func (w *proxyModel) relayedResponseArrives(i int) {
 	response := w.responses[i]
 	w.responses = slices.Delete(w.responses, i, i+1)
@@ -342,8 +342,8 @@
 	}
 }
 
-// sendHeartbeat has the worker's heartbeat reach the proxy, which answers if it
-// may. The response is under way from then on.
+// sendHeartbeat delivers the worker's heartbeat to the proxy, which sends a response if it
+// may answer.
 func (w *proxyModel) sendHeartbeat() {
 	w.beginHeartbeat()
 	w.delegation.RecordHeartbeat(modelMachine, w.time())
@@ -354,7 +354,7 @@
 	w.answerKept()
 }
 
-// answerKept has the proxy answer the heartbeat that it keeps, if it may.
+// answerKept makes the proxy answer its retained heartbeat if it may.
 func (w *proxyModel) answerKept() {
 	if w.kept.sequence == 0 || !w.delegation.CanAnswer(modelMachine) {
 		return
@@ -370,11 +370,11 @@
 		response.stops = heartbeat.lists || len(fence.Starts) > 0
 	}
 	if heartbeat.sequence == w.sequence {
-		w.response = response // otherwise the worker has given it up
+		w.response = response // otherwise the worker has abandoned it
 	}
 }
 
-// responseArrives has the worker receive the proxy's response.
+// responseArrives delivers the proxy's response to the worker.
 func (w *proxyModel) responseArrives() {
 	response := w.response
 	w.response = workerResponse{}
@@ -386,13 +386,13 @@
 		w.startRuns = false
 	}
 	if slices.ContainsFunc(w.lateStarts, func(token uint64) bool { return token >= w.workerToken }) {
-		w.violation = "renews the lease of a worker to which a start is under way"
+		w.violation = "a lease was renewed while a start to the worker was in flight"
 	}
 }
 
-// answerAsHolder has the holder answer a heartbeat, which also tells it what
-// became of its start. The response carries a start that is unconfirmed, so that
-// a copy has no effect, and its stop if the job has ended.
+// answerAsHolder makes the holder answer a heartbeat, which also tells it the outcome of
+// its start. The response carries an unconfirmed start again, so that a late copy has no
+// effect, and its stop if the job has ended.
 func (w *proxyModel) answerAsHolder() {
 	r := w.recordsAt(w.holderCopy)
 	if w.lost || !w.isRunning() || r.token < w.workerToken {
@@ -412,19 +412,18 @@
 	}
 }
 
-// check returns a violation, or "".
+// check describes a violated invariant; "" if there is none.
 func (w *proxyModel) check() string {
 	if w.lost && w.isRunning() {
-		return "runs though its holder took it for lost"
+		return "the task runs although its holder declared it lost"
 	}
 	if w.startRuns && w.cancelledAt != 0 && w.now > w.cancelledAt+modelCopyAge+modelWorkerLease {
-		return "runs for longer after its cancellation than a copy of the records and a lease last"
+		return "the task runs for longer after its cancellation than the copy age and the worker lease allow"
 	}
 	return w.violation
 }
 
-// events returns what may happen next, by name; pick selects one of so many
-// writes that are under way.
+// events returns the possible events by name. pick selects one of count pending items.
 func (w *proxyModel) events(pick func(count int) int) map[string]func() {
 	return map[string]func(){
 		"tick":                    w.tick,
@@ -472,7 +471,7 @@
 	}
 }
 
-// runEvents plays events in the given order, and returns the first violation, or "".
+// runEvents executes events in the given order and returns the first violation, or "".
 func runEvents(omitted omissions, names []string) string {
 	w := newProxyModel(omitted)
 	events := w.events(func(int) int { return 0 })
@@ -485,11 +484,11 @@
 	return ""
 }
 
-// runRandomEvents plays random events, and returns the first violation, or "".
+// runRandomEvents executes random events and returns the first violation, or "".
 func runRandomEvents(t *rapid.T, omitted omissions) string {
 	w := newProxyModel(omitted)
 	events := w.events(func(count int) int { return rapid.IntRange(0, count-1).Draw(t, "write") })
-	// Events that are listed several times are drawn as much more often.
+	// Events that are listed several times are drawn proportionally more often.
 	weighted := []string{
 		"tick", "tick", "tick", "tick",
 		"heartbeat, response", "heartbeat, response",
--- a/internal/placement/resources.go
+++ b/internal/placement/resources.go
@@ -13,10 +13,10 @@
 // Resources is an amount of each kind of resource.
 type Resources [kindCount]float64
 
-// epsilon absorbs the rounding of decimal amounts.
+// epsilon absorbs rounding errors of decimal amounts.
 const epsilon = 1e-9
 
-// Fits reports whether need is within r.
+// Fits reports whether need fits into r.
 func (r Resources) Fits(need Resources) bool {
 	for i := range r {
 		if need[i] > r[i]+epsilon {
@@ -26,7 +26,7 @@
 	return true
 }
 
-// CountFitting returns how many times need is within r, at most [math.MaxInt32].
+// CountFitting returns how many times need fits into r, at most [math.MaxInt32].
 func (r Resources) CountFitting(need Resources) int {
 	count := float64(math.MaxInt32)
 	for i := range r {
--- a/internal/placement/resources_test.go
+++ b/internal/placement/resources_test.go
@@ -7,7 +7,7 @@
 	"pgregory.net/rapid"
 )
 
-// CountFitting is how often an amount can be taken away, as Fits tells.
+// CountFitting matches repeated subtraction for as long as Fits is true.
 func TestCountFitting(t *testing.T) {
 	for _, c := range []struct {
 		free, need Resources
--- a/internal/placement/selector.go
+++ b/internal/placement/selector.go
@@ -6,11 +6,10 @@
 	"math"
 )
 
-// Selector chooses machines for equal tasks of one job, one after the other, each time
-// the machine with the lowest score after placement. Of equal scores the lower
-// preference wins, then the machine that was added first. It chooses what
-// [UCfit.SelectBest] would if it were called for every task, but scores only the
-// machine that has changed.
+// Selector selects machines for equal tasks of one job, one at a time, each time the
+// machine with the lowest score after placement. Ties are broken by lower preference, then
+// by the order of addition. The result equals calling [UCfit.SelectBest] for every task,
+// but only the modified machine is scored again.
 type Selector struct {
 	ucfit    UCfit
 	need     Resources // of one task
@@ -21,9 +20,9 @@
 // resources.
 func (u UCfit) NewSelector(need Resources) *Selector { return &Selector{ucfit: u, need: need} }
 
-// Add adds a machine with the given free capacity, if a task fits it. The caller
-// numbers the machines, in the order in which it adds them. Lower preferences are
-// chosen first among machines of equal score.
+// Add adds a machine with the given free capacity if a task fits on it. The caller assigns
+// ids in the order of addition. Among machines of equal score, lower preferences are
+// selected first.
 func (s *Selector) Add(id int, free, size Resources, preference int) {
 	if !free.Fits(s.need) {
 		return
@@ -33,7 +32,7 @@
 	heap.Push(&s.machines, m)
 }
 
-// Best returns the machine for the next task; -1 if it fits none.
+// Best returns the machine for the next task; -1 if it fits on none.
 func (s *Selector) Best() int {
 	if len(s.machines) == 0 {
 		return -1
@@ -41,7 +40,7 @@
 	return s.machines[0].id
 }
 
-// PlaceOnBest notes that a task was placed on the machine that Best returns.
+// PlaceOnBest records that a task was placed on the machine that Best returns.
 func (s *Selector) PlaceOnBest() {
 	best := &s.machines[0]
 	if !best.freeAfter.Fits(s.need) {
@@ -56,16 +55,16 @@
 // RemoveBest removes the machine that Best returns.
 func (s *Selector) RemoveBest() { heap.Pop(&s.machines) }
 
-// updateScore computes the score of a machine. It is rounded, so that amounts which
-// differ by their rounding score alike.
+// updateScore computes the score of a machine. The score is rounded so that amounts that
+// differ only by rounding errors have equal scores.
 func (s *Selector) updateScore(m *candidateMachine) {
 	m.score = math.Round(s.ucfit.Score(m.freeAfter, m.size) / epsilon)
 }
 
-// candidateMachine is a machine that another task fits.
+// candidateMachine is a machine on which another task fits.
 type candidateMachine struct {
 	id         int
-	freeAfter  Resources // once one more task is placed
+	freeAfter  Resources // after placing one more task
 	size       Resources
 	score      float64 // with that task, in units of epsilon
 	preference int
--- a/internal/placement/selector_test.go
+++ b/internal/placement/selector_test.go
@@ -6,7 +6,7 @@
 	"pgregory.net/rapid"
 )
 
-// A Selector chooses what SelectBest does, called anew for every task.
+// A Selector selects the same machines as SelectBest called for every task.
 func TestSelectorMatchesSelectBest(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(0, 8).Draw(t, "machines")
@@ -23,7 +23,7 @@
 		}
 		byPreference := sortByPreference(preference)
 		for {
-			// SelectBest decides equal scores by the order of its candidates.
+			// SelectBest breaks ties by the order of its candidates.
 			want := paperUCfit.SelectBest(n, func(i int) (Resources, Resources, bool) {
 				i = byPreference[i]
 				return free[i].Sub(need), size[i], free[i].Fits(need)
--- a/internal/placement/ucfit.go
+++ b/internal/placement/ucfit.go
@@ -14,12 +14,12 @@
 type UCfit struct {
 	A float64 // weight of the remaining capacity
 	B float64 // weight of the imbalance
-	C float64 // keeps the second factor from being zero where RCV and RUV are in line
+	C float64 // keeps the second factor above zero if RCV and RUV are collinear
 }
 
-// Score returns the fitness of a machine of a size with the given free capacity after
-// placement. Lower is better. Resources that the machine lacks are left out; a machine
-// with nothing free scores 0.
+// Score returns the fitness of a machine with the given size and free capacity after
+// placement. Lower is better. Resources that the machine lacks are ignored; a full machine
+// scores 0.
 func (u UCfit) Score(free, size Resources) float64 {
 	var remainingSquared, usedSquared, dot float64 // |RCV|², |RUV|², RCV · RUV
 	dimensions := 0
@@ -46,8 +46,8 @@
 	return math.Pow(math.Sqrt(remainingSquared/float64(dimensions)), u.A) * math.Pow(sin+u.C, u.B)
 }
 
-// remainingFraction returns the free part of a resource, from 0 to 1. What is left by
-// rounding counts as nothing.
+// remainingFraction returns the free fraction of a resource, from 0 to 1. Rounding errors
+// count as 0.
 func remainingFraction(free, size float64) float64 {
 	fraction := min(max(free/size, 0), 1)
 	if fraction < epsilon {
@@ -56,10 +56,10 @@
 	return fraction
 }
 
-// SelectBest returns the index of the lowest score among n candidates; -1 if the task
-// fits none. The function candidate returns the free capacity of a candidate after
-// placement and its size; ok is false if the task does not fit. Of equal scores the
-// first wins.
+// SelectBest returns the index of the candidate with the lowest score among n candidates;
+// -1 if the task fits on none. The function candidate returns the free capacity of a
+// candidate after placement and its size; ok is false if the task does not fit. Of equal
+// scores the first wins.
 func (u UCfit) SelectBest(n int, candidate func(i int) (free, size Resources, ok bool)) int {
 	best, lowest := -1, math.Inf(1)
 	for i := range n {
--- a/internal/placement/ucfit_test.go
+++ b/internal/placement/ucfit_test.go
@@ -28,7 +28,7 @@
 	}
 }
 
-// By hand from equation (8): RCV (1/2, 1/4), RUV (1/2, 3/4): |RCV|² = 5/16,
+// Calculated by hand from equation (8): RCV (1/2, 1/4), RUV (1/2, 3/4): |RCV|² = 5/16,
 // cos θ = (1/4+3/16)/√(5/16·13/16) = 7/√65, sin θ = 4/√65.
 func TestScoreMatchesHandCalculation(t *testing.T) {
 	got := paperUCfit.Score(Resources{4, 0, 4}, Resources{8, 0, 16})
@@ -48,7 +48,7 @@
 	}
 }
 
-// modelScore is equation (8) written out with the angle itself.
+// modelScore computes equation (8) directly from the angle.
 func modelScore(free, size Resources, u UCfit) float64 {
 	var rcv, ruv []float64
 	for i := range size {
@@ -79,7 +79,7 @@
 	return math.Sqrt(sum)
 }
 
-// SelectBest chooses what a search of all machines by the model's score chooses.
+// SelectBest matches an exhaustive search by the model's score.
 func TestSelectBestMatchesSearch(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(0, 8).Draw(t, "machines")
--- a/internal/placement/victims.go
+++ b/internal/placement/victims.go
@@ -2,18 +2,18 @@
 
 // Victim is a running task that could be preempted.
 type Victim struct {
-	Resources Resources // that it would free
+	Resources Resources // freed by preempting it
 	Cost      float64   // of preempting it, in any unit
 }
 
-// SelectVictims returns the indices of cheap victims, all on one machine, whose end
-// makes need fit into what is free, and the sum of their costs; nil if all of them are
-// not enough. It begins with the full set and spares the chosen expensive first, so every
-// victim that remains is needed. That is not always the cheapest set, which would take
-// a search of all subsets.
+// SelectVictims returns the indices of cheap victims on one machine whose preemption makes
+// need fit into the free capacity, and the sum of their costs; nil if all of them are not
+// enough. It starts with the full set and removes unneeded victims, most expensive first,
+// so that every selected victim is needed. The result is not always the cheapest set, which
+// would require a search of all subsets.
 func SelectVictims(free, need Resources, victims []Victim) ([]int, float64) {
 	spared := make([]bool, len(victims))
-	room := free // with the end of all that are not spared
+	room := free // plus the resources of all victims that are not spared
 	for _, v := range victims {
 		room = room.Add(v.Resources)
 	}
--- a/internal/placement/victims_test.go
+++ b/internal/placement/victims_test.go
@@ -6,8 +6,8 @@
 	"pgregory.net/rapid"
 )
 
-// SelectVictims frees enough if any subset of the victims does, and each victim that it
-// selects is needed.
+// SelectVictims frees enough capacity if preempting all victims does, and each selected
+// victim is needed.
 func TestSelectVictimsFreesEnoughWithoutExcess(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		amount := rapid.Custom(func(t *rapid.T) Resources {
@@ -18,7 +18,7 @@
 		for range rapid.IntRange(0, 6).Draw(t, "victims") {
 			victims = append(victims, Victim{Resources: amount.Draw(t, "victim"), Cost: drawAmount(t, "cost", 1, 9)})
 		}
-		fitsAfter := func(subset int) bool { // a bit for each victim that ends
+		fitsAfter := func(subset int) bool { // subset has a bit for each preempted victim
 			room := free
 			for i, v := range victims {
 				if subset&(1<<i) != 0 {
--- a/internal/policy/admission.go
+++ b/internal/policy/admission.go
@@ -1,15 +1,15 @@
 package policy
 
-// workTolerance is by how many core-seconds the work may exceed the capacity before
-// a job counts as late: it absorbs the rounding of sums of many jobs.
+// workTolerance is the number of core-seconds by which the work may exceed the capacity
+// before a job counts as late. It absorbs rounding errors in sums over many jobs.
 const workTolerance = 1e-6
 
-// admission decides which jobs can be in time, rank by rank. It keeps its buffers
-// between calls of admit.
+// admission decides which jobs can meet their deadlines, rank by rank. It reuses its
+// buffers between calls of admit.
 type admission struct {
 	snapshot  *Snapshot
-	candidate []bool          // by job: of the rank that is being admitted
-	deferred  []bool          // by job: deferred by the latest call that had it as a candidate
+	candidate []bool          // by job: belongs to the rank being admitted
+	deferred  []bool          // by job: deferred by the latest call with the job as a candidate
 	work      float64         // of the jobs up to the current one, in core-seconds
 	teamWork  []float64       // the same, by team
 	teamHeaps []*deferralHeap // by team: the candidates that can be deferred
@@ -32,9 +32,9 @@
 	return a
 }
 
-// admit adds candidates, the jobs of one rank, to the admitted jobs of higher ranks.
-// Both lists are sorted by deadline, and so is onTime. Whenever a job would be late,
-// the longest candidate that comes before it and uses what is short is deferred.
+// admit adds candidates, the jobs of one rank, to the admitted jobs of higher ranks. Both
+// lists are sorted by deadline, and so is onTime. Whenever a job would be late, the
+// longest candidate before it that uses the insufficient resource is deferred.
 func (a *admission) admit(admitted, candidates []int) (onTime, deferred []int) {
 	a.reset(candidates)
 	all := merge(admitted, candidates, a.snapshot.compareDeadline)
@@ -55,7 +55,7 @@
 	return onTime, deferred
 }
 
-// reset prepares for the candidates of a rank.
+// reset prepares the buffers for the candidates of a rank.
 func (a *admission) reset(candidates []int) {
 	a.work = 0
 	clear(a.teamWork)
@@ -68,9 +68,9 @@
 	}
 }
 
-// deferUntilOnTime defers candidates until a job is in time or deferred itself, and
-// returns the list of deferred jobs with them. It gives up when higher ranks alone
-// make the job late.
+// deferUntilOnTime defers candidates until the job is on time or deferred itself, and
+// returns the extended list of deferred jobs. It stops if higher ranks alone make the job
+// late.
 func (a *admission) deferUntilOnTime(job int, deferred []int) []int {
 	j := &a.snapshot.Jobs[job]
 	for j.hasDeadline() && !a.deferred[job] {
@@ -78,7 +78,7 @@
 		if !exceedsCapacity && !a.exceedsMaxQuota(j) {
 			break
 		}
-		// What the team alone exceeds can be made good by its own jobs only.
+		// If only the team's quota is exceeded, only its own jobs can be deferred.
 		heap := a.teamHeaps[j.Team]
 		if exceedsCapacity {
 			heap = a.firstToDefer()
@@ -95,14 +95,13 @@
 	return deferred
 }
 
-// exceedsMaxQuota reports whether a job is late by the maximum quota of its team.
+// exceedsMaxQuota reports whether a job is late because of its team's maximum quota.
 func (a *admission) exceedsMaxQuota(j *Job) bool {
 	quota := a.snapshot.MaxQuota(j.Team)
 	return quota > 0 && a.teamWork[j.Team] > quota*j.latestStart()+workTolerance
 }
 
-// firstToDefer returns the heap whose top is deferred before all others; nil if all
-// are empty.
+// firstToDefer returns the heap whose top job is deferred first; nil if all are empty.
 func (a *admission) firstToDefer() *deferralHeap {
 	var first *deferralHeap
 	for _, h := range a.teamHeaps {
@@ -116,7 +115,7 @@
 	return first
 }
 
-// merge merges two sorted lists; of equals that of a comes first.
+// merge merges two sorted lists; equal elements of a come first.
 func merge(a, b []int, compare func(a, b int) int) []int {
 	out := make([]int, 0, len(a)+len(b))
 	for len(a) > 0 && len(b) > 0 {
--- a/internal/policy/deferralheap.go
+++ b/internal/policy/deferralheap.go
@@ -1,7 +1,7 @@
 package policy
 
-// deferralHeap is a binary heap of jobs with the one that is deferred first on top.
-// It is written out, since container/heap would box every index.
+// deferralHeap is a binary heap of jobs whose top is the job to be deferred first. It does
+// not use container/heap, which would box every index.
 type deferralHeap struct {
 	snapshot *Snapshot
 	jobs     []int
--- a/internal/policy/main_test.go
+++ b/internal/policy/main_test.go
@@ -10,5 +10,5 @@
 	seeded.Main(m)
 }
 
-// unlimited is a maximum quota for no team.
+// unlimited is a MaxQuota function without limits.
 func unlimited(int) float64 { return 0 }
--- a/internal/policy/model_test.go
+++ b/internal/policy/model_test.go
@@ -6,7 +6,7 @@
 	"pgregory.net/rapid"
 )
 
-// drawJobs draws a few jobs that share one core and whose last tasks take no time.
+// drawJobs draws up to 7 jobs for one core, with LastTaskSeconds zero.
 func drawJobs(t *rapid.T, priorities int) []Job {
 	jobs := make([]Job, rapid.IntRange(0, 7).Draw(t, "jobs"))
 	for i := range jobs {
@@ -21,8 +21,8 @@
 	return jobs
 }
 
-// countOnTime counts the jobs that are in time if they run one after the other in an
-// order, of those that the filter lets pass.
+// countOnTime counts the jobs accepted by the filter that are on time if all jobs run
+// sequentially in the given order.
 func countOnTime(jobs []Job, order []int, filter func(i int) bool) int {
 	end, onTime := 0.0, 0
 	for _, i := range order {
@@ -34,7 +34,8 @@
 	return onTime
 }
 
-// maxOnTime tries every order of some jobs: the plain model of the order.
+// maxOnTime returns the maximum number of jobs on time over all orders, as the reference
+// model of Snapshot.Order.
 func maxOnTime(jobs []Job, of []int) int {
 	best := 0
 	var try func(order, rest []int)
--- a/internal/policy/order.go
+++ b/internal/policy/order.go
@@ -10,47 +10,48 @@
 // Job is a job with tasks to start. Times are in seconds from now.
 type Job struct {
 	Class int // index into Snapshot.ClassService
-	Team  int // index into Snapshot.TeamService, and what Snapshot.MaxQuota is asked for
+	Team  int // index into Snapshot.TeamService, and argument of Snapshot.MaxQuota
 	// Priority is the priority class, from its quota and urgency; higher goes first. A
-	// job is deferred only for jobs of its own priority and higher ones.
+	// job is deferred only in favor of jobs of equal or higher priority.
 	Priority int
-	// Work is the work that is left, in core-seconds.
+	// Work is the remaining work in core-seconds.
 	Work float64
-	// LastTaskSeconds is the run time of its last task: capacity has to have reached
-	// all of the job's tasks that long before the deadline.
+	// LastTaskSeconds is the run time of its last task: all tasks of the job must have
+	// been started that long before the deadline.
 	LastTaskSeconds float64
-	// Deadline is when the job should be done; +Inf: it has no deadline.
+	// Deadline is when the job should be done; +Inf: no deadline.
 	Deadline float64
-	// LaterDeadlines are tried in turn, rising, if the job can't meet Deadline.
+	// LaterDeadlines, in ascending order, are tried in turn if the job can't meet
+	// Deadline.
 	LaterDeadlines []float64
-	// Overdue says that all that was expected of the job is past. Its Deadline then
-	// only keeps it from starving.
+	// Overdue reports that all actual deadlines of the job have passed. Deadline then
+	// only prevents starvation.
 	Overdue bool
 }
 
-// latestStart returns when the job's last task has to have been started.
+// latestStart returns the time by which the job's last task must have been started.
 func (j *Job) latestStart() float64 { return j.Deadline - j.LastTaskSeconds }
 
-// hasDeadline reports whether it matters when the job is done.
+// hasDeadline reports whether the job has a deadline.
 func (j *Job) hasDeadline() bool { return !math.IsInf(j.Deadline, 1) }
 
-// canMeetDeadline reports whether the job could be in time if it had all capacity.
+// canMeetDeadline reports whether the job could meet its deadline with all capacity.
 func (j *Job) canMeetDeadline() bool {
 	return !j.Overdue && j.hasDeadline() && j.latestStart() >= 0
 }
 
-// Snapshot is what the order of jobs is computed from.
+// Snapshot is the input from which the order of jobs is computed.
 type Snapshot struct {
 	Jobs []Job
-	// Cores is the number of cores that all jobs share.
+	// Cores is the number of cores shared by all jobs.
 	Cores float64
-	// BootingCores is how many more there will be, in BootSeconds.
+	// BootingCores is the number of additional cores available in BootSeconds.
 	BootingCores float64
 	BootSeconds  float64
 	// MaxQuota returns the maximum quota of a team, in cores; 0: no limit.
 	MaxQuota func(team int) float64
 	// ClassService and TeamService are the service levels of the classes and teams
-	// that Job refers to; nil: no minimum service level is kept for them.
+	// referenced by Job; nil: no minimum service level is enforced for them.
 	ClassService []ServiceLevel
 	TeamService  []ServiceLevel
 }
@@ -59,7 +60,7 @@
 // capacity every job would be late.
 const minSharedCores = 1
 
-// capacityUntil returns how many core-seconds there are from now until a time.
+// capacityUntil returns the core-seconds available from now until a time.
 func (s *Snapshot) capacityUntil(seconds float64) float64 {
 	if math.IsInf(seconds, 1) {
 		return seconds
@@ -70,25 +71,24 @@
 // Queue is the order in which jobs get capacity.
 type Queue struct {
 	Jobs      []int  // indices into Snapshot.Jobs
-	Late      []bool // by job: can't be in time, and comes last
+	Late      []bool // by job: can't meet any of its deadlines, and comes last
 	Protected []bool // by job: ranks above all priorities, for the minimum service level of its class or team
 }
 
-// protectedRank lifts the priority of a protected job above all others.
+// protectedRank is added to the priority of protected jobs to rank them above all others.
 const protectedRank = 1 << 20
 
-// Order orders the jobs so that as many as possible are in time: first those that
-// their classes and teams require for their minimum service level, then priority by
-// priority.
+// Order orders the jobs so that as many as possible are on time: first those required for
+// the minimum service levels of classes and teams, then by priority.
 //
-// This follows the algorithm of Moore and Hodgson. Jobs are taken by deadline, and
-// when one would be late, the longest is deferred, but only for its own priority and
-// higher ones; it is tried again with its next deadline. Of the jobs that will be in
-// time those of higher priority then go first for as long as that makes no other
-// late: a job that can wait does, whatever its priority. Jobs that are deferred for
-// good come last, by priority, and the shortest first.
+// It follows the Moore-Hodgson algorithm. Jobs are considered in order of deadline. When
+// one would be late, the longest job is deferred, but only in favor of jobs of equal or
+// higher priority, and retried with its next deadline. Among the jobs on time, those of
+// higher priority are then moved to the front unless that makes another job late: a job
+// with enough slack waits, whatever its priority. Jobs without a feasible deadline come
+// last, by priority, shortest first.
 func (s Snapshot) Order() Queue {
-	s.Jobs = slices.Clone(s.Jobs) // their deadlines move
+	s.Jobs = slices.Clone(s.Jobs) // their deadlines are modified
 	queue := Queue{Late: make([]bool, len(s.Jobs)), Protected: s.protectedJobs()}
 	ranks := s.jobsByRank(queue.Protected)
 	admission := newAdmission(&s)
@@ -114,8 +114,8 @@
 	return queue
 }
 
-// jobsByRank groups the jobs by the rank in which they are admitted: their priority,
-// and above all priorities for protected jobs.
+// jobsByRank groups the jobs by admission rank: their priority, raised above all
+// priorities for protected jobs.
 func (s *Snapshot) jobsByRank(protected []bool) map[int][]int {
 	ranks := map[int][]int{}
 	for i := range s.Jobs {
@@ -138,8 +138,7 @@
 	return true
 }
 
-// compareDeadline orders jobs by deadline, then the higher priority and the shorter
-// one first.
+// compareDeadline orders jobs by deadline, then higher priority first, then shorter first.
 func (s *Snapshot) compareDeadline(a, b int) int {
 	x, y := &s.Jobs[a], &s.Jobs[b]
 	switch {
@@ -153,14 +152,14 @@
 	return cmp.Compare(a, b)
 }
 
-// compareLate orders jobs that can't be in time: by priority, the shortest first.
+// compareLate orders jobs that can't be on time: by priority, shortest first.
 func (s *Snapshot) compareLate(a, b int) int {
 	x, y := &s.Jobs[a], &s.Jobs[b]
 	return cmp.Or(cmp.Compare(y.Priority, x.Priority), cmp.Compare(x.Work, y.Work), cmp.Compare(a, b))
 }
 
-// compareDeferral orders jobs of one rank by which of them is deferred first: those
-// that are overdue, then the longest.
+// compareDeferral orders jobs of one rank by deferral: overdue jobs first, then longest
+// first.
 func (s *Snapshot) compareDeferral(a, b int) int {
 	x, y := &s.Jobs[a], &s.Jobs[b]
 	switch {
--- a/internal/policy/order_test.go
+++ b/internal/policy/order_test.go
@@ -8,9 +8,9 @@
 	"pgregory.net/rapid"
 )
 
-// Of the highest priority as many jobs are in time as of that priority alone can be,
-// in any order, whatever else there is; with one priority that is the whole claim.
-// All jobs that are not late by the queue are in time, and every job has its place.
+// The number of jobs of the highest priority that are on time equals the maximum over all
+// orders of those jobs alone, regardless of other jobs. All jobs not marked late are on
+// time, and every job appears in the queue once.
 func TestOrderMatchesExhaustiveSearch(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		jobs := drawJobs(t, rapid.IntRange(1, 3).Draw(t, "priorities"))
@@ -53,8 +53,8 @@
 	}
 }
 
-// A late job goes last, but an overdue one does not starve: its deadline, which grows
-// by half of its wait, comes to be before that of jobs that come later.
+// A late job goes last, but an overdue one does not starve: its deadline grows by half of
+// its waiting time and eventually precedes those of jobs submitted later.
 func TestOverdueJobDoesNotStarve(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -74,8 +74,8 @@
 	}
 }
 
-// A job that can't meet its first deadline is tried with its next before it is late,
-// and booting machines count from when they are ready.
+// A job that can't meet its first deadline is retried with the next one before it counts as
+// late, and booting machines count from when they are ready.
 func TestLaterDeadlinesAndBootingCores(t *testing.T) {
 	jobs := []Job{{Work: 20, Deadline: 15, LaterDeadlines: []float64{50}}, {Work: 10, Deadline: 15}, {Work: 90, Deadline: 60}}
 	noneBooting := Snapshot{Jobs: jobs, Cores: 1, MaxQuota: unlimited}.Order()
@@ -83,7 +83,7 @@
 		t.Errorf("none booting: %+v", noneBooting)
 	}
 	if jobs[0].Deadline != 15 {
-		t.Error("the snapshot's own jobs have changed")
+		t.Error("Order has modified the jobs of the snapshot")
 	}
 	readySoon := Snapshot{Jobs: jobs, Cores: 1, BootingCores: 3, BootSeconds: 30, MaxQuota: unlimited}.Order()
 	if slices.Contains(readySoon.Late, true) || readySoon.Jobs[0] != 1 {
--- a/internal/policy/preemption.go
+++ b/internal/policy/preemption.go
@@ -6,53 +6,54 @@
 	"reedtrack/internal/protocol"
 )
 
-// Urgencies that matter here.
+// Urgency thresholds.
 const (
-	minUrgent = int(protocol.PriorityHigh) // the lowest that preempts without a quota
-	maxUrgent = int(protocol.PriorityProd) // preempts at once if it has no deadline
+	minUrgent = int(protocol.PriorityHigh) // the lowest urgency that preempts without a minimum quota
+	maxUrgent = int(protocol.PriorityProd) // preempts immediately if the job has no deadline
 )
 
-// MaxPreemptions bounds how often a task is preempted, so that it ends some day
-// however long there is more urgent work than capacity.
+// MaxPreemptions bounds how often a task is preempted, so that it eventually ends even
+// during a lasting shortage.
 const MaxPreemptions = 2
 
-// When work within the minimum quota of its team preempts, by its start objective.
+// Thresholds for preemption by work within the minimum quota of its team, relative to its
+// start objective.
 const (
-	// startObjectiveGraceDivisor divides the objective: a job waits that part of it for
-	// tasks that end by themselves.
+	// startObjectiveGraceDivisor divides the objective: a job waits for that fraction of
+	// it for tasks to end on their own.
 	startObjectiveGraceDivisor = 3
-	// missedObjectiveRetry is after how many times the objective a job that has missed
-	// it preempts again.
+	// missedObjectiveRetry is the multiple of the objective after which a job that has
+	// missed it preempts again.
 	missedObjectiveRetry = 4
-	// longOverdueObjectives is after how many times the objective it preempts urgent
-	// work too: without a bound it would wait for other teams, which it need not.
+	// longOverdueObjectives is the multiple of the objective after which a job preempts
+	// urgent work too. Without a bound it would wait for other teams, which it does not
+	// have to.
 	longOverdueObjectives = 8
 )
 
-// Times in intervals between two heartbeats of a worker: a preempted task is known to
-// have ended with a heartbeat, and so is one that ends by itself.
+// Times in heartbeat intervals of a worker, since heartbeats report the end of tasks.
 const (
-	// quotaWaitHeartbeats is how long work within a minimum quota waits for tasks that
-	// end by themselves, if there is no start objective.
+	// quotaWaitHeartbeats is how long work within a minimum quota waits for tasks to end
+	// on their own, if there is no start objective.
 	quotaWaitHeartbeats = 2
 	// urgentWaitHeartbeats is the same for urgent work without a deadline.
 	urgentWaitHeartbeats = 4
-	// urgentSlackHeartbeats is the slack below which urgent work preempts: what it
-	// takes to stop a task, to hear of it and to start another, with a margin.
+	// urgentSlackHeartbeats is the slack below which urgent work preempts: the time to
+	// stop a task, to receive the report and to start another, with a margin.
 	urgentSlackHeartbeats = 4
 )
 
-// What preempting a task costs.
+// Parameters of the preemption cost.
 const (
-	// startOverheadSeconds is what a start costs beyond the work that is lost: a wait
-	// for a machine, a message to it, often an image.
+	// startOverheadSeconds is the cost of a restart in addition to the lost work: the
+	// wait for a machine, a message to it, and often an image download.
 	startOverheadSeconds = 5
-	// minBilledCores is what a task counts for at least, so that tasks of hardly any
-	// cores are not preempted for free.
+	// minBilledCores is the minimum number of cores for which a task counts, so that
+	// preempting very small tasks is not free.
 	minBilledCores = 0.1
 )
 
-// Preemptor is a job that waits for capacity which others have. Times are in seconds.
+// Preemptor is a job that waits for capacity used by others. Times are in seconds.
 type Preemptor struct {
 	Urgency        int // the lowest is 0
 	WithinMinQuota bool
@@ -62,22 +63,22 @@
 	// StartObjective is the service-level objective for the start of work within the
 	// minimum quota; 0: there is none.
 	StartObjective float64
-	// Slack is the time until the job has to start to meet its deadline; +Inf: it has
-	// none.
+	// Slack is the time until the job must start to meet its deadline; +Inf: it has no
+	// deadline.
 	Slack float64
 }
 
-// ShouldPreempt reports whether a job is to get capacity at the cost of others.
+// ShouldPreempt reports whether a job should preempt others.
 //
-// Work within the minimum quota of its team is, for as long as that can still meet
-// the start objective: not at once, since tasks end all the time, and not when the
-// victims would be gone too late. Once the objective is missed, preempting gains
-// nothing that the next tasks to end would not give soon. Such a job preempts again
-// after a multiple of the objective, as it need not wait for other teams.
+// Work within the minimum quota of its team preempts while this can still meet the start
+// objective: not immediately, since tasks end all the time, and not when the victims would
+// end too late. After the objective is missed, other tasks are likely to end soon anyway,
+// so preemption gains nothing. The job preempts again after a multiple of the objective,
+// since it does not have to wait for other teams.
 //
-// Urgent work is when it would otherwise miss its deadline, but can still meet it.
-// Work that merely waits is served as tasks end: were it to preempt others, those
-// would preempt others in turn.
+// Urgent work preempts when it would otherwise miss its deadline but can still meet it.
+// Other waiting work is served as tasks end: if it preempted tasks, those would preempt
+// others in turn.
 func (p Preemptor) ShouldPreempt() bool {
 	if p.WithinMinQuota {
 		return p.shouldPreemptForQuota()
@@ -99,34 +100,34 @@
 	return canMeetObjective || p.Waited > missedObjectiveRetry*p.StartObjective
 }
 
-// isLongOverdue reports whether work within a minimum quota has waited for so long
-// that it preempts work of any urgency.
+// isLongOverdue reports whether work within a minimum quota has waited long enough to
+// preempt work of any urgency.
 func (p Preemptor) isLongOverdue() bool {
 	return p.Waited > longOverdueObjectives*max(p.StartObjective, p.HeartbeatInterval)
 }
 
-// RunningTask is a task that runs, or is about to, and could be preempted.
+// RunningTask is a running or starting task that could be preempted.
 type RunningTask struct {
 	Urgency        int
 	WithinMinQuota bool
-	// BeyondMinQuota says that it is of another team, which has its minimum quota
-	// without it.
+	// BeyondMinQuota reports that the task belongs to another team, which has its minimum
+	// quota without it.
 	BeyondMinQuota bool
-	// BelowMinService says that its class or team is below its minimum service level.
+	// BelowMinService reports that its class or team is below its minimum service level.
 	BelowMinService bool
 	Preemptions     int     // so far
 	LostSeconds     float64 // the run time that would be lost
 	Cores           float64
 }
 
-// CanPreempt reports whether a task may be preempted in favour of a job.
+// CanPreempt reports whether a task may be preempted in favor of a job.
 //
-// A job preempts tasks of lower urgency, unless they are within a minimum quota and
-// the job is not. Work within a minimum quota also preempts what another team runs
-// beyond its own: urgent work only if it is urgent itself or long overdue, since large
-// tasks of little urgency preempted several small urgent ones each, and those others
-// in turn. What a class or team runs below its minimum service level is not preempted
-// for work that is merely urgent.
+// A job preempts tasks of lower urgency, unless they are within a minimum quota and the
+// job is not. Work within a minimum quota also preempts tasks of another team beyond that
+// team's minimum quota. It preempts urgent ones only if it is urgent itself or long
+// overdue: otherwise large tasks of low urgency each preempted several small urgent ones,
+// which preempted others in turn. Tasks of a class or team below its minimum service level
+// are preempted only for work within a minimum quota.
 func (p Preemptor) CanPreempt(t RunningTask) bool {
 	isLessUrgent := t.Urgency < p.Urgency && (p.WithinMinQuota || !t.WithinMinQuota)
 	isReclaimed := p.WithinMinQuota && !t.WithinMinQuota && t.BeyondMinQuota &&
@@ -134,20 +135,19 @@
 	return (isLessUrgent || isReclaimed) && t.Preemptions < MaxPreemptions && (p.WithinMinQuota || !t.BelowMinService)
 }
 
-// IsWorthLoss reports whether one of the job's own tasks is worth what is preempted
-// for it: neither may more work be lost than the task has, nor may the cost of the
-// victims exceed the task's work by its urgency. All are in core-seconds.
+// IsWorthLoss reports whether one of the job's tasks justifies the preemption: the lost
+// work must not exceed the task's work, and the victims' cost must not exceed the task's
+// work weighted by its urgency. All amounts are in core-seconds.
 func (p Preemptor) IsWorthLoss(taskWork, lostWork, victimsCost float64) bool {
 	return lostWork <= taskWork && victimsCost <= taskWork*urgencyWeight(p.Urgency)
 }
 
-// PreemptionCost returns what preempting a task costs, in core-seconds, more for
-// urgent work. With the lost work alone the youngest and smallest tasks were
-// preempted first: urgent ones that had just started, which then preempted others in
-// turn.
+// PreemptionCost returns the cost of preempting a task in core-seconds, weighted by
+// urgency. If only the lost work counted, the youngest and smallest tasks would be
+// preempted first: urgent ones that have just started and then preempt others in turn.
 func (t RunningTask) PreemptionCost() float64 {
 	return (t.LostSeconds + startOverheadSeconds) * max(t.Cores, minBilledCores) * urgencyWeight(t.Urgency)
 }
 
-// urgencyWeight is what a second of work of an urgency counts: 1, 3, 5 or 7.
+// urgencyWeight returns the weight of a core-second by urgency: 1, 3, 5 or 7.
 func urgencyWeight(urgency int) float64 { return float64(1 + 2*urgency) }
--- a/internal/policy/preemption_test.go
+++ b/internal/policy/preemption_test.go
@@ -35,7 +35,7 @@
 	}
 }
 
-// Work within a minimum quota preempts work that is no more urgent, and any once it is
+// Work within a minimum quota preempts work below the urgent level, and any work once it is
 // long overdue.
 func TestMinQuotaPreemptsByUrgency(t *testing.T) {
 	for _, c := range []struct {
@@ -56,15 +56,14 @@
 				t.Errorf("%+v", c)
 			}
 			if p.CanPreempt(RunningTask{Urgency: c.urgency, BeyondMinQuota: true, WithinMinQuota: true}) {
-				t.Error("preempts what another team has within its minimum quota")
+				t.Error("preempts a task of another team within its minimum quota")
 			}
 		})
 	}
 }
 
-// There are no circles of preemption: no task preempts one by which it could be
-// preempted in turn, but for a minimum quota, and then no more than MaxPreemptions
-// times.
+// There are no preemption cycles: no two tasks can preempt each other unless a minimum
+// quota is involved, and no task is preempted more than MaxPreemptions times.
 func TestPreemptionHasNoCircles(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		draw := func(name string) RunningTask {
@@ -86,14 +85,14 @@
 			t.Fatalf("%+v preempts %+v, which is within its minimum quota", b, a)
 		}
 		if b.Preemptions = MaxPreemptions; preempts(a, b) {
-			t.Fatalf("%+v preempts %+v for ever", a, b)
+			t.Fatalf("%+v preempts %+v more than MaxPreemptions times", a, b)
 		}
 	})
 }
 
-// Urgent tasks that have just started were the cheapest of all and were preempted
-// first: of tasks that take as long, less urgent ones go first, however long they ran
-// up to the overhead of a start.
+// Guards against urgent tasks that are preempted first because they have just started: less
+// urgent tasks are preempted first, even if they have run longer by up to the overhead of a
+// start.
 func TestPreemptionCostRisesWithUrgency(t *testing.T) {
 	tasks := []RunningTask{{Urgency: minUrgent, LostSeconds: 1, Cores: 1}, {Urgency: 0, LostSeconds: 9, Cores: 1}, {Urgency: 1, LostSeconds: 3, Cores: 1}}
 	slices.SortFunc(tasks, func(a, b RunningTask) int { return int(a.PreemptionCost() - b.PreemptionCost()) })
@@ -102,8 +101,7 @@
 	}
 }
 
-// No more work is lost for a task than it is worth, by its work and by the urgency of
-// both.
+// The loss for a task must not exceed its work, nor its work weighted by urgency.
 func TestIsWorthLoss(t *testing.T) {
 	withinQuota, urgent := Preemptor{WithinMinQuota: true}, Preemptor{Urgency: minUrgent}
 	twoTasks := 2 * RunningTask{Urgency: 1, LostSeconds: 10, Cores: 2}.PreemptionCost() // 180
--- a/internal/policy/servicelevel_test.go
+++ b/internal/policy/servicelevel_test.go
@@ -9,9 +9,9 @@
 	"pgregory.net/rapid"
 )
 
-// A class that was not served of late has the jobs protected that it requires for its
-// minimum service level, the shortest, and those go before all that would make them
-// late; one that was served has none protected.
+// The shortest jobs that a class requires for its minimum service level are protected and
+// precede all jobs that would make them late. A class at its minimum service level has no
+// protected jobs.
 func TestProtectedJobsReachMinServiceLevel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		jobs := drawJobs(t, 3)
@@ -56,8 +56,8 @@
 	})
 }
 
-// A class with one job, of the lowest priority, reaches its minimum service level too:
-// that job goes before all that would make it late.
+// The only job of a class, with the lowest priority, precedes all jobs that would make it
+// late, so that its class reaches the minimum service level.
 func TestMinServiceLevelOfClassWithOneJob(t *testing.T) {
 	jobs := []Job{{Class: 0, Work: 10, Deadline: 20}}
 	for range 30 {
@@ -69,11 +69,11 @@
 		t.Errorf("the class's only job is late: %v", queue.Jobs)
 	}
 	if queue := (Snapshot{Jobs: jobs, Cores: 1, MaxQuota: unlimited}).Order(); !queue.Late[0] {
-		t.Error("it is in time without a minimum service level: the test shows nothing")
+		t.Error("the job is on time without a minimum service level: the test is ineffective")
 	}
 }
 
-// An outcome counts less as time goes by, and not at all when it is long ago.
+// The weight of an outcome decays over time to a negligible value.
 func TestServiceLevelDecays(t *testing.T) {
 	var s ServiceLevel
 	now := time.Unix(1e9, 0)
@@ -89,9 +89,9 @@
 	}
 }
 
-// In hundreds of shortages, with up to a third more work than capacity and less
-// capacity for a minute, no class has less than half of its jobs in time. Without
-// minimum service levels many do.
+// In random shortages, with up to a third more work than capacity and reduced capacity for
+// a minute, at least half of each class's jobs are on time. Without minimum service levels
+// this fails in many cases.
 func TestNoClassBelowHalfInShortage(t *testing.T) {
 	below, shortages := 0, 0
 	rapid.Check(t, func(t *rapid.T) {
@@ -108,6 +108,6 @@
 	})
 	t.Logf("%d of %d shortages leave a class under half without minimum service levels", below, shortages)
 	if below < shortages/10 {
-		t.Errorf("only %d of %d shortages leave a class under half: the test shows nothing", below, shortages)
+		t.Errorf("only %d of %d shortages leave a class under half: the test is ineffective", below, shortages)
 	}
 }
--- a/internal/policy/shortage_test.go
+++ b/internal/policy/shortage_test.go
@@ -7,27 +7,27 @@
 	"pgregory.net/rapid"
 )
 
-// shortage is a fluid model of a deployment with less capacity than work: the jobs of
-// each class come at a steady pace, and in every step capacity goes to the first jobs
-// of the order, to each for as much as it can use. For a while there is less of it.
+// shortage is a fluid model of a deployment with less capacity than work. The jobs of each
+// class arrive at a constant rate. Each step assigns capacity to the jobs in queue order,
+// to each as much as it can use. The capacity is temporarily reduced.
 type shortage struct {
-	minService bool // keep minimum service levels
+	minService bool // enforce minimum service levels
 	classes    []shortageClass
 	cores      float64
-	dipStep    int // where capacity falls
+	dipStep    int // first step with reduced capacity
 	jobs       []shortageJob
 }
 
-// shortageClass is a class of equal jobs, and what became of them.
+// shortageClass is a class of equal jobs with their outcomes.
 type shortageClass struct {
 	priority  int
-	interval  float64 // seconds between two jobs
+	interval  float64 // seconds between two arrivals
 	work      float64 // core-seconds of a job
-	deadline  float64 // seconds after a job came
+	deadline  float64 // seconds after the arrival of a job
 	maxCores  float64 // that a job can use at once
-	nextAt    float64 // when the next job comes
+	nextAt    float64 // arrival of the next job
 	served    ServiceLevel
-	met, done float64 // jobs in time, and all that ended or are late at the end
+	met, done float64 // jobs on time, and all jobs that ended or are late at the end
 }
 
 type shortageJob struct {
@@ -40,12 +40,12 @@
 	shortageSteps      = 180
 	shortageStep       = 5.0 // seconds
 	shortageDipSteps   = 12  // a minute
-	shortageDip        = 0.7 // of the capacity is left meanwhile
-	shortageMinRunTime = 25  // seconds that a job takes with all the cores that it can use
+	shortageDip        = 0.7 // fraction of the capacity that remains meanwhile
+	shortageMinRunTime = 25  // seconds that a job takes with maxCores
 )
 
-// simulateShortage draws a shortage, and returns the part of each class's jobs that
-// was in time.
+// simulateShortage draws and simulates a shortage, and returns the fraction of each class's
+// jobs that was on time.
 func simulateShortage(t *rapid.T, minService bool) []float64 {
 	s := drawShortage(t, minService)
 	for step := range shortageSteps {
@@ -74,7 +74,7 @@
 	return s
 }
 
-// advance plays one step: jobs come, get capacity by the order, and end.
+// advance simulates one step: jobs arrive, get capacity in queue order, and end.
 func (s *shortage) advance(step int) {
 	now := float64(step) * shortageStep
 	s.submitJobs(now)
@@ -112,7 +112,7 @@
 	}
 }
 
-// snapshot is what the scheduler would make of the jobs.
+// snapshot returns the snapshot that the scheduler would build from the jobs.
 func (s *shortage) snapshot(now, cores float64) Snapshot {
 	snapshot := Snapshot{Cores: cores, MaxQuota: unlimited}
 	if s.minService {
@@ -141,8 +141,8 @@
 	return snapshot
 }
 
-// onTime returns the part of each class's jobs that was in time. Jobs that are late
-// and have not ended count as well.
+// onTime returns the fraction of each class's jobs that was on time, including unfinished
+// late jobs.
 func (s *shortage) onTime() []float64 {
 	for _, j := range s.jobs {
 		if class := &s.classes[j.class]; shortageSteps*shortageStep-j.cameAt > class.deadline {
--- a/internal/policy/slack.go
+++ b/internal/policy/slack.go
@@ -6,12 +6,12 @@
 	"slices"
 )
 
-// prioritizeWithinSlack moves jobs of higher priority to the front for as long as
-// that makes no other late. The jobs are sorted by deadline.
+// prioritizeWithinSlack moves jobs of higher priority to the front unless that makes
+// another job late. The jobs are sorted by deadline.
 //
-// Each job in turn, by priority, goes first if all that it would overtake have the
-// slack for it. Otherwise the front job goes first, which is the one that can wait
-// least, and the job is tried again.
+// Each job in order of priority is placed first if all jobs that it would overtake have
+// enough slack. Otherwise the front job, which has the earliest deadline, is placed first,
+// and the job is tried again.
 func (s *Snapshot) prioritizeWithinSlack(jobs []int) []int {
 	n := len(jobs)
 	slack := newSlackTree(s.deadlineSlack(jobs))
@@ -39,9 +39,9 @@
 	return out
 }
 
-// deadlineSlack returns by how many core-seconds each job could be delayed and still
-// be in time, if they run in this order. Jobs that are late anyway, by the quota of
-// their team or by higher ranks, lose nothing: they can be delayed without bound.
+// deadlineSlack returns by how many core-seconds each job could be delayed and still be on
+// time if the jobs run in this order. Jobs that are late anyway, because of their team's
+// quota or higher ranks, have infinite slack.
 func (s *Snapshot) deadlineSlack(jobs []int) []float64 {
 	slack := make([]float64, len(jobs))
 	work := 0.0
@@ -55,8 +55,7 @@
 	return slack
 }
 
-// positionsByPriority returns the positions in jobs, those of the highest priority
-// first, and otherwise in their order.
+// positionsByPriority returns the positions in jobs, stably sorted by descending priority.
 func (s *Snapshot) positionsByPriority(jobs []int) []int {
 	positions := make([]int, len(jobs))
 	for k := range positions {
--- a/internal/policy/slacktree.go
+++ b/internal/policy/slacktree.go
@@ -2,14 +2,13 @@
 
 import "math"
 
-// slackTree holds the slack of a row of jobs: how much work each may be delayed by.
-// It is a segment tree of minima with lazy subtraction, so that a range is asked for
-// its minimum, or reduced, in logarithmic time, and thousands of jobs are reordered in
-// one plan.
+// slackTree holds the slack of a sequence of jobs: the amount of work by which each may be
+// delayed. It is a segment tree of minima with lazy subtraction. Range minimum queries and
+// range updates take logarithmic time, so that one plan can reorder thousands of jobs.
 type slackTree struct {
 	leaves int       // a power of two
-	min    []float64 // by node, the root 1: the least slack below it
-	spent  []float64 // by node: taken from all of its leaves, not yet from the nodes below it
+	min    []float64 // by node, with root 1: minimum slack of its leaves
+	spent  []float64 // by node: subtracted from all of its leaves, not yet propagated to its descendants
 }
 
 func newSlackTree(slack []float64) *slackTree {
@@ -28,8 +27,7 @@
 	return t
 }
 
-// least returns the least slack of the positions in [from, to); +Inf if there are
-// none.
+// least returns the minimum slack of the positions in [from, to); +Inf if there are none.
 func (t *slackTree) least(from, to int) float64 {
 	return t.visit(1, 0, t.leaves, slackChange{from: from, to: to})
 }
@@ -39,21 +37,21 @@
 	t.visit(1, 0, t.leaves, slackChange{from: from, to: to, work: work, apply: true})
 }
 
-// remove takes a position out: its slack becomes infinite.
+// remove removes a position by making its slack infinite.
 func (t *slackTree) remove(position int) {
 	t.visit(1, 0, t.leaves, slackChange{from: position, to: position + 1, work: math.Inf(-1), apply: true})
 }
 
-// slackChange is what a visit asks of the positions in [from, to): to be reduced by
-// work, or without apply only their least slack.
+// slackChange is an operation on the positions in [from, to): a query of their minimum
+// slack which, if apply is set, first subtracts work.
 type slackChange struct {
 	from, to int
 	work     float64
 	apply    bool
 }
 
-// visit walks down from a node that covers the positions in [low, high), and returns
-// the least slack of those that the change covers.
+// visit applies a change below a node that covers the positions in [low, high), and returns
+// the minimum slack of the positions covered by the change.
 func (t *slackTree) visit(node, low, high int, c slackChange) float64 {
 	if c.to <= low || high <= c.from || c.from >= c.to {
 		return math.Inf(1)
--- a/internal/quota/model_test.go
+++ b/internal/quota/model_test.go
@@ -8,7 +8,7 @@
 	"reedtrack/internal/storage"
 )
 
-// tolerance absorbs the rounding of sums in the plain model.
+// tolerance absorbs rounding errors of sums in the reference model.
 const tolerance = 1e-6
 
 // drawDemands draws a quota and demands, some of which use more than their share.
@@ -39,8 +39,8 @@
 	return storage.Resources{Cores: a.Cores + tasks*taskSize.Cores, GPUs: a.GPUs + tasks*taskSize.GPUs}
 }
 
-// startableTasks counts the whole tasks that a plain shard starts within its share,
-// one at a time.
+// startableTasks counts the whole tasks that a shard can start within its share, one at a
+// time.
 func startableTasks(d Demand, share, quota storage.Resources) int {
 	if d.TaskSize == (storage.Resources{}) {
 		return 0
@@ -60,8 +60,7 @@
 	}
 }
 
-// proportionalShare returns what a demand gets in proportion to all requests, without
-// rounding.
+// proportionalShare returns the unrounded share of a demand in proportion to all requests.
 func proportionalShare(d Demand, requested, quota storage.Resources) storage.Resources {
 	share := d.Requested
 	if quota.Cores > 0 && requested.Cores > quota.Cores {
@@ -79,7 +78,7 @@
 	return d.TaskSize != (storage.Resources{}) && more.Cores <= d.Requested.Cores+tolerance && more.GPUs <= d.Requested.GPUs+tolerance
 }
 
-// leavesTask reports whether a quota of which some is used suffices for another task.
+// leavesTask reports whether the unused part of a quota suffices for another task.
 func leavesTask(quota, used, taskSize storage.Resources) bool {
 	suffices := func(quota, used, taskSize float64) bool {
 		return quota == 0 || taskSize == 0 || used+taskSize <= quota+tolerance
@@ -87,8 +86,8 @@
 	return suffices(quota.Cores, used.Cores, taskSize.Cores) && suffices(quota.GPUs, used.GPUs, taskSize.GPUs)
 }
 
-// unroundedAmount returns how much is kept for shards whose share is not a whole
-// number of tasks: those whose task size is not known.
+// unroundedAmount returns the unused amount assigned to shards whose share is not rounded
+// to whole tasks because their task size is unknown.
 func unroundedAmount(demands []Demand, shares []storage.Resources) float64 {
 	kept := 0.0
 	for i, d := range demands {
@@ -99,7 +98,7 @@
 	return kept
 }
 
-// withMachines returns a demand without what it lacks machines for.
+// withMachines returns a demand whose request is limited to what it has machines for.
 func withMachines(d Demand) Demand {
 	if d.Startable != nil {
 		d.Requested = storage.Resources{
@@ -110,9 +109,9 @@
 	return d
 }
 
-// idleBesideWaiting finds a share of cores beyond what its shard has machines for, large
-// enough for a task of another shard that has a machine for it and no share. Quotas of
-// cards are left out: a task that needs both may lack either.
+// idleBesideWaiting finds a share of cores that exceeds what its shard has machines for by
+// enough to start a task of another shard that has a machine but lacks quota. It ignores
+// quotas with GPUs: a task that needs both may lack either.
 func idleBesideWaiting(quota storage.Resources, demands []Demand, shares []storage.Resources) (idle, waiting int, found bool) {
 	if quota.Cores == 0 || quota.GPUs > 0 {
 		return 0, 0, false
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -2,19 +2,19 @@
 
 import "reedtrack/internal/storage"
 
-// Demand is what a shard uses and requests of a team's quota.
+// Demand is the amount of a team's quota that a shard uses and requests.
 type Demand struct {
 	Used      storage.Resources
 	Requested storage.Resources // includes Used
-	// TaskSize is the least that one of its waiting tasks takes; zero: not known, and
-	// its share is not rounded.
+	// TaskSize is the size of its smallest waiting task. If it is zero, the size is unknown
+	// and the share is not rounded.
 	TaskSize storage.Resources
-	// Startable is the part of Requested that the shard has machines for, Used included;
-	// nil: all of it, as far as is known.
+	// Startable is the part of Requested for which the shard has machines, including Used;
+	// nil means all of it, as far as is known.
 	Startable *storage.Resources
 }
 
-// startable returns the part of the request that the shard has machines for.
+// startable returns the part of the request for which the shard has machines.
 func (d *Demand) startable() vector {
 	requested := vectorOf(d.Requested)
 	if d.Startable == nil {
@@ -27,15 +27,14 @@
 	return startable
 }
 
-// Divide returns the share of a quota that each demand gets. In a resource whose quota
-// is zero there is no limit: each gets what it requests, as it does if the quota
-// suffices for all. A quota that falls short is divided in proportion to the requests,
-// in whole tasks: a share that holds part of a task would serve nobody, and idle while
-// others wait. What rounding leaves goes to those that are furthest behind and can use
-// it.
+// Divide returns the share of a quota for each demand. A resource with quota zero is not
+// limited. If a resource is not limited or its quota suffices, each demand gets what it
+// requests. An insufficient quota is divided in proportion to the requests, rounded to
+// whole tasks: a share for part of a task would remain unused while others wait. The
+// remainder goes to the demands with the smallest served fraction that can use it.
 //
-// What demands have machines for is served first, and from the rest what they don't: a
-// share that no machine can use would idle beside room in another shard.
+// Demand for which there are machines is served first, and other demand from the rest: a
+// share that no machine can use would remain unused while another shard has free machines.
 func Divide(quota storage.Resources, demands []Demand) []storage.Resources {
 	limit := vectorOf(quota)
 	var limited [resourceCount]bool
@@ -64,7 +63,7 @@
 	return amounts
 }
 
-// divide assigns what there is of the limited resources to shares.
+// divide assigns the available amount of the limited resources to shares.
 func divide(limited [resourceCount]bool, limit vector, shares []share) {
 	var requested vector
 	for i := range shares {
@@ -82,8 +81,8 @@
 	assignRemainder(shares, scarce, limit)
 }
 
-// assignRemainder gives what rounding has left to shares that lack a task, one task at
-// a time, those first that have the smallest part of what they request.
+// assignRemainder assigns the remainder left by rounding to shares that request further
+// tasks, one task at a time, smallest served fraction first.
 func assignRemainder(shares []share, scarce [resourceCount]bool, limit vector) {
 	left := limit
 	for i := range shares {
@@ -105,8 +104,8 @@
 	}
 }
 
-// leastServed returns the share that has the smallest part of what it requests, of those
-// that one more task can be given to; nil if there is none.
+// leastServed returns the share with the smallest served fraction among those to which one
+// more task can be assigned; nil if there is none.
 func leastServed(shares []share, scarce [resourceCount]bool, left vector) *share {
 	var next *share
 	smallest := 0.0
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -9,8 +9,8 @@
 	"reedtrack/internal/storage"
 )
 
-// The share of one shard is in proportion to what all request, never more than it
-// requests, and without a task size it is not rounded.
+// A share is proportional to the requests, never exceeds its own request, and is not
+// rounded without a task size.
 func TestDivideInProportionToRequests(t *testing.T) {
 	quota := storage.Resources{Cores: 100}
 	for _, c := range []struct{ requested, total, want float64 }{
@@ -29,7 +29,7 @@
 	}
 }
 
-// coresDemand is a demand for cores alone.
+// coresDemand returns a demand for cores only.
 func coresDemand(used, requested, taskSize float64) Demand {
 	return Demand{
 		Used:      storage.Resources{Cores: used},
@@ -38,8 +38,8 @@
 	}
 }
 
-// Three shards whose proportional shares hold parts of a task leave no whole task
-// idle. They once did, for as long as their jobs ran.
+// Guards against quota for a whole task that remains unused because the proportional
+// shares of three shards each hold only part of a task.
 func TestDivideAssignsWholeTasks(t *testing.T) {
 	demands := []Demand{coresDemand(4, 10, 2), coresDemand(3, 9, 2), coresDemand(4, 12, 2)}
 	shares := Divide(storage.Resources{Cores: 14}, demands)
@@ -52,8 +52,8 @@
 	}
 }
 
-// A shard with a single task beside one that requests nearly all gets its whole task,
-// not the 1.65 cores of its proportion.
+// A shard with a single task gets quota for the whole task, not its proportional 1.65
+// cores, even if another shard requests nearly all of the quota.
 func TestDivideAssignsSmallDemandItsTask(t *testing.T) {
 	shares := Divide(storage.Resources{Cores: 14}, []Demand{coresDemand(0, 2, 2), coresDemand(12, 15, 3)})
 	if shares[0].Cores != 2 {
@@ -61,9 +61,9 @@
 	}
 }
 
-// Shares never sum above a quota that falls short, nobody gets more than it requests,
-// nobody starts fewer tasks than its proportional share holds, and no task waits though
-// the quota has room for it: by a plain count of tasks.
+// The shares never exceed an insufficient quota in total, no shard gets more than it
+// requests or starts fewer tasks than its proportional share allows, and no task waits
+// while the quota suffices for it, as verified by counting tasks.
 func TestDivideMatchesTaskCount(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		quota, demands := drawDemands(t)
@@ -93,9 +93,9 @@
 	})
 }
 
-// What a shard has no machines for is left to those that have: a share there would idle.
-// Once a shard of red kept 3 cores without a machine while another, with 13 of 16 cores
-// free on one, had used up its own 3.
+// Guards against a share that remains unused because its shard has no machine: a shard
+// held 3 cores without a machine while another, with 13 of 16 cores free on a machine, had
+// used up its own share of 3.
 func TestDivideServesWhatHasMachinesFirst(t *testing.T) {
 	without := coresDemand(0, 12, 3)
 	without.Startable = &storage.Resources{}
@@ -105,13 +105,13 @@
 	}
 	shares = Divide(storage.Resources{Cores: 14}, []Demand{without, coresDemand(3, 6, 3)})
 	if shares[0].Cores != 6 || shares[1].Cores != 6 {
-		t.Errorf("%v: what the second does not want is the first's", shares)
+		t.Errorf("%v: the first should get what the second does not request", shares)
 	}
 }
 
-// With what shards have machines for: shares never sum above a quota, nobody gets more
-// than it requests, and no share holds a task that lacks a machine while one that has a
-// machine waits for a share which that task's would suffice for, by a plain count.
+// With shards that lack machines, the shares never exceed a quota in total, no shard gets
+// more than it requests, and no share is reserved for a task without a machine while it
+// would suffice for a waiting task with a machine.
 func TestDivideLeavesNoShareIdle(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		quota, demands := drawDemands(t)
@@ -138,9 +138,9 @@
 	})
 }
 
-// Guards against quota that idles beside a task that it would start, held for a larger
-// task of another shard that needs more than is free. Seen in a play: shares 8, 5 and 1 of
-// 14 cores, two of the five idle for 91 s.
+// Guards against quota that remains unused although it suffices for a waiting task, because
+// it is reserved for a larger task of another shard. A simulation had shares of 8, 5 and 1
+// of 14 cores, with two of the five unused for 91 s.
 func TestFreeQuotaStartsATask(t *testing.T) {
 	const limit = 14.0
 	demands := []Demand{coresDemand(8, 10, 2), coresDemand(3, 15, 3), coresDemand(1, 2, 1)}
--- a/internal/quota/share.go
+++ b/internal/quota/share.go
@@ -2,14 +2,14 @@
 
 import "math"
 
-// share is a demand, and what it is assigned while a quota is divided.
+// share is a demand and the amount assigned to it while a quota is divided.
 type share struct {
 	used, requested, taskSize vector // as in Demand
 	assigned                  vector
 }
 
-// taken returns what the shard takes of a resource with its share: what it uses stays
-// taken until its tasks end, even if its share is less.
+// taken returns how much of a resource the shard occupies: the amount in use is occupied
+// until its tasks end, even if the share is smaller.
 func (s *share) taken(resource int) float64 { return max(s.used[resource], s.assigned[resource]) }
 
 // assignProportional assigns a share in proportion to the requests, rounded down to
@@ -36,8 +36,8 @@
 	}
 }
 
-// servedFraction returns the part of its request that a share has, in the scarce
-// resource in which that is the smallest.
+// servedFraction returns the fraction of the request that is served, the minimum over all
+// scarce resources.
 func (s *share) servedFraction(scarce [resourceCount]bool) float64 {
 	fraction := 1.0
 	for r := range s.requested {
@@ -48,7 +48,7 @@
 	return fraction
 }
 
-// canAddTask reports whether a share requests another task, and enough of every scarce
+// canAddTask reports whether the shard requests another task and enough of every scarce
 // resource is left for it.
 func (s *share) canAddTask(scarce [resourceCount]bool, left vector) bool {
 	needsScarce := false
--- a/internal/quota/vector.go
+++ b/internal/quota/vector.go
@@ -2,7 +2,7 @@
 
 import "reedtrack/internal/storage"
 
-// epsilon absorbs the rounding of sums of decimal amounts.
+// epsilon absorbs rounding errors in sums of decimal amounts.
 const epsilon = 1e-9
 
 // The resourceCount that a quota limits.
--- a/internal/session/history.go
+++ b/internal/session/history.go
@@ -2,20 +2,19 @@
 
 import "slices"
 
-// History remembers the expired sessions of another controller, as the changes
-// of its key have shown them. With it, delayed messages of a process that has
-// ended are told from those of its successor. The zero value is empty.
+// History records the expired sessions of another controller, as observed from changes of
+// its key. It distinguishes delayed messages of a terminated process from messages of its
+// successor. The zero value is empty.
 type History struct {
 	current uint64
-	expired []uint64 // the newest last
+	expired []uint64 // in order of expiry
 }
 
-// maxHistory bounds how many expired sessions are remembered. A message may be
-// delayed for minutes, in which a process that keeps crashing goes through
-// several sessions.
+// maxHistory is the maximum number of recorded sessions. A message may be delayed for
+// minutes, during which a crash-looping process may open several sessions.
 const maxHistory = 16
 
-// Observe records the session that the controller's key names now, 0 for none.
+// Observe records the session that the controller's key currently names; 0 for none.
 func (h *History) Observe(session uint64) {
 	if h.current != 0 && h.current != session && !slices.Contains(h.expired, h.current) {
 		h.expired = append(h.expired, h.current)
--- a/internal/session/history_test.go
+++ b/internal/session/history_test.go
@@ -27,7 +27,7 @@
 			}
 			for _, session := range c.unknown {
 				if h.IsExpired(session) {
-					t.Errorf("session %d is taken for expired", session)
+					t.Errorf("session %d is considered expired", session)
 				}
 			}
 		})
@@ -40,6 +40,6 @@
 		h.Observe(session)
 	}
 	if len(h.expired) != maxHistory || h.IsExpired(1) || !h.IsExpired(2) {
-		t.Errorf("remembers %v", h.expired)
+		t.Errorf("recorded sessions: %v", h.expired)
 	}
 }
--- a/internal/session/model_test.go
+++ b/internal/session/model_test.go
@@ -11,11 +11,10 @@
 	testTime   = time.Unix(1e9, 0)
 )
 
-// sessionModel is a key-value store, the running process of one controller, and
-// the requests of earlier processes that are still under way. It is copied to
-// explore what may come next.
+// sessionModel consists of a key-value store, the running process of one controller, and
+// the pending requests of earlier processes. It is cloned to explore successor states.
 type sessionModel struct {
-	unconditionalWrites bool // the key is written whatever its revision is
+	unconditionalWrites bool // the key is written without a precondition on its revision
 	revision            uint64
 	key                 Key
 	leases              []uint64 // not expired
@@ -42,8 +41,8 @@
 	return &c
 }
 
-// fingerprint tells apart the states from which different things may follow.
-// Times are left out: steps are carried out whatever their NotBefore.
+// fingerprint identifies states with the same possible successors. It excludes times,
+// because steps are executed regardless of NotBefore.
 func (m *sessionModel) fingerprint() string {
 	s := m.session
 	return fmt.Sprint(m.key, m.leases, m.delayed, m.happened, s.previousKey, s.keyRead, s.lease, s.open, s.revision, s.yielding, s.toRevoke, s.revokeAttempts, s.steppingDown, m.violation)
@@ -58,8 +57,7 @@
 	}
 }
 
-// execute carries out a request of the running process, or a delayed one of a
-// process that has ended.
+// execute executes a request of the running process, or a delayed request.
 func (m *sessionModel) execute(step Step, delayed bool) Result {
 	r := Result{SentAt: testTime}
 	before := m.key
@@ -88,8 +86,8 @@
 	case RevokeLease:
 		m.expireLease(step.Lease)
 	}
-	// That the key names another session proves that the former has expired: it
-	// must not change while its process runs and its lease is valid.
+	// Other controllers conclude from a key with another session that the previous
+	// session has expired, so the key must not change while the lease is valid.
 	lease := m.session.Lease()
 	if lease != 0 && before.Session == lease && m.key != before && m.isLeaseValid(lease) {
 		m.violation = fmt.Sprintf("the key of session %d was replaced by %v (delayed request: %v)", lease, m.key, delayed)
@@ -105,21 +103,20 @@
 	}
 }
 
-// runStep lets the process take its next step.
+// runStep executes the process's next step.
 func (m *sessionModel) runStep() {
 	step := m.session.Next()
 	m.session.HandleResult(step, m.execute(step, false), testTime)
 }
 
-// runStepUnanswered carries the next step out, and loses the response.
+// runStepUnanswered executes the next step and loses the response.
 func (m *sessionModel) runStepUnanswered() {
 	step := m.session.Next()
 	m.execute(step, false)
 	m.failStep(step)
 }
 
-// runStepDelayed has the process give up its next step, which the network still
-// holds.
+// runStepDelayed fails the process's next step, whose request may still arrive later.
 func (m *sessionModel) runStepDelayed() {
 	step := m.session.Next()
 	m.delayed = append(m.delayed, step)
@@ -130,13 +127,13 @@
 	m.session.HandleResult(step, Result{Outcome: Failed, SentAt: testTime}, testTime)
 }
 
-// restart ends the process and starts the next of its name.
+// restart terminates the process and starts its successor.
 func (m *sessionModel) restart() {
 	m.happened.crashes++
 	m.session = *New(testTiming, m.session.disabled)
 }
 
-// successors returns the states that may follow, by the event that leads there.
+// successors returns the successor states, by event.
 func (m *sessionModel) successors(bounds eventCounts) map[string]*sessionModel {
 	out := map[string]*sessionModel{}
 	add := func(event string, apply func(c *sessionModel)) {
@@ -175,8 +172,8 @@
 	return out
 }
 
-// converges reports whether the process opens a session that others see, once
-// no more faults happen and leases that nobody renews have expired.
+// converges reports whether the process opens a visible session if no more faults occur
+// and leases that are not renewed expire.
 func (m *sessionModel) converges() bool {
 	c := m.clone()
 	for range 20 {
@@ -192,8 +189,8 @@
 	return lease != 0 && c.key.Session == lease && c.isLeaseValid(lease) && len(c.leases) == 1
 }
 
-// explore visits every order of events within the bounds, and returns the
-// number of states and the first violation found.
+// explore visits every sequence of events within the bounds, and returns the number of
+// states and the first violation found.
 func explore(initial *sessionModel, bounds eventCounts) (states int, violation string) {
 	seen := map[string]bool{}
 	queue := []*sessionModel{initial}
@@ -201,7 +198,7 @@
 		m := queue[0]
 		queue = queue[1:]
 		if m.violation == "" && !m.converges() {
-			m.violation = fmt.Sprintf("never seen again: key %v, lease %d, leases %v", m.key, m.session.lease, m.leases)
+			m.violation = fmt.Sprintf("no convergence: key %v, lease %d, leases %v", m.key, m.session.lease, m.leases)
 		}
 		if m.violation != "" {
 			return len(seen), m.violation
--- a/internal/session/renewal_test.go
+++ b/internal/session/renewal_test.go
@@ -7,25 +7,25 @@
 	"time"
 )
 
-// renewalCopy is a renewal that is under way.
+// renewalCopy is one transmission of a renewal.
 type renewalCopy struct {
 	step       Step
 	sentAt     time.Time
 	arrivesAt  time.Time // at the store
-	answeredAt time.Time // zero: the answer is lost
+	answeredAt time.Time // zero: the response is lost
 	arrived    bool
 	outcome    Outcome
 }
 
-// renewalModel is an open session, its lease at the store, and copies of renewals that
-// arrive and are answered in any order.
+// renewalModel consists of an open session, its lease in the store, and copies of renewals
+// that arrive and are answered in any order.
 type renewalModel struct {
 	random         *rand.Rand
 	ttl            time.Duration
-	countFromReply bool // breaks the rule that a lease counts from the sending
+	countFromReply bool // violates the rule that a lease counts from when the renewal was sent
 	session        *Session
 	now            time.Time
-	expiresAt      time.Time // of the lease, at the store
+	expiresAt      time.Time // of the lease, in the store
 	copies         []*renewalCopy
 }
 
@@ -40,7 +40,7 @@
 	return m
 }
 
-// send sends the session's next renewal, if it is due. It is answered late, or never.
+// send sends the session's next renewal if it is due. It is answered late or never.
 func (m *renewalModel) send() {
 	step := m.session.Next()
 	if step.Operation != RenewLease || step.NotBefore.After(m.now) {
@@ -55,7 +55,7 @@
 	m.copies = append(m.copies, copied)
 }
 
-// deliver carries out the copies that arrive now, and hands over the answers that do.
+// deliver executes the copies that arrive at the store and delivers due responses.
 func (m *renewalModel) deliver() {
 	for _, c := range m.copies {
 		if !c.arrived && !c.arrivesAt.After(m.now) {
@@ -78,13 +78,14 @@
 	})
 }
 
-// isUnsafe tells whether the process takes a lease for valid that the store has ended.
+// isUnsafe reports whether the process considers a lease valid that has expired in the
+// store.
 func (m *renewalModel) isUnsafe() bool {
 	takenForValid := m.session.Lease() != 0 && m.now.Before(m.session.RenewalSentAt().Add(m.ttl))
 	return takenForValid && !m.now.Before(m.expiresAt)
 }
 
-// run reports whether the process ever took an expired lease for valid.
+// run reports whether the process ever considered an expired lease valid.
 func (m *renewalModel) run() (unsafe bool) {
 	for range 600 {
 		m.deliver()
@@ -97,8 +98,8 @@
 	return false
 }
 
-// However late copies of renewals are carried out and answered, and in whatever order, the
-// process never takes a lease for valid that has ended at the store.
+// However late, and in whatever order, copies of renewals are executed and answered, the
+// process never considers a lease valid that has expired in the store.
 func TestRenewalCopiesNeverOutliveLease(t *testing.T) {
 	for name, c := range map[string]struct{ countFromReply, unsafe bool }{
 		"counted from the sending": {false, false},
@@ -115,14 +116,14 @@
 				}
 			}
 			if found != c.unsafe || ended == 0 {
-				t.Errorf("an expired lease was taken for valid: %v; %d leases ended", found, ended)
+				t.Errorf("an expired lease was considered valid: %v; %d leases ended", found, ended)
 			}
 		})
 	}
 }
 
-// A renewal without an answer is sent again long before it is given up; one copy that is
-// answered, whichever it is, puts the next renewal off.
+// An unanswered renewal is retransmitted long before it times out, and a response to any
+// copy postpones the next renewal.
 func TestUnansweredRenewalIsCopied(t *testing.T) {
 	m := newRenewalModel(1, 5*time.Second)
 	timing := m.session.timing
@@ -150,7 +151,7 @@
 	}
 }
 
-// Answers to copies that come after the session has ended change nothing of the next one.
+// Responses to copies that arrive after the end of the session do not affect the next one.
 func TestLateRenewalAnswersAreIgnored(t *testing.T) {
 	for name, outcome := range map[string]Outcome{"renewed": Succeeded, "expired": LeaseExpired, "no answer": Failed} {
 		t.Run(name, func(t *testing.T) {
@@ -170,15 +171,15 @@
 	}
 }
 
-// Copies keep to what the store's limit on requests leaves, and are never sent less often
-// than twice in the interval between renewals.
+// The repeat interval respects the store's rate limit, but is at most half of the renewal
+// interval.
 func TestRepeatIntervalKeepsToRateLimit(t *testing.T) {
 	lease := 10 * time.Second
 	for minInterval, want := range map[time.Duration]time.Duration{
 		0: retryInterval, 100 * time.Millisecond: retryInterval, 400 * time.Millisecond: 400 * time.Millisecond, time.Hour: time.Second,
 	} {
 		if got := TimingFor(lease, minInterval).RepeatInterval; got != want {
-			t.Errorf("at least %v between renewals: repeated after %v, not %v", minInterval, got, want)
+			t.Errorf("at least %v between renewals: repeated after %v, want %v", minInterval, got, want)
 		}
 	}
 }
--- a/internal/session/session.go
+++ b/internal/session/session.go
@@ -2,49 +2,48 @@
 
 import "time"
 
-// maxRevokeAttempts bounds how often the revocation of one lease is sent: a
-// lease that nobody renews expires by itself.
+// maxRevokeAttempts bounds how often the revocation of a lease is sent: a lease that is
+// no longer renewed expires anyway.
 const maxRevokeAttempts = 3
 
-// DisabledGuards is a set of safeguards that a test leaves out, to show that it
-// notices their absence. The program always passes 0.
+// DisabledGuards is a set of safeguards that a test disables to verify that it detects
+// their absence. Production code always passes 0.
 type DisabledGuards uint8
 
-// Safeguards that a test can leave out.
+// Safeguards that a test can disable.
 const (
-	WithoutYield    DisabledGuards = 1 << iota // a process that lost its key takes it back at once
+	WithoutYield    DisabledGuards = 1 << iota // a process that lost its key rewrites it at once
 	WithoutKeyWatch                            // ObserveKey is ignored
 )
 
-// Session is the state machine of one process's lease and key. It opens a
-// session by ReadKey, GrantLease and WriteKey, in that order, keeps it by copies of
-// RenewLease, and begins anew when it is lost. It is not safe for concurrent
-// use.
+// Session is the state machine of one process's lease and key. It opens a session by
+// ReadKey, GrantLease and WriteKey, in that order, maintains it by RenewLease, and opens
+// another when it is lost. It is not safe for concurrent use.
 type Session struct {
 	timing   Timing
 	disabled DisabledGuards
 
-	open          bool      // the key stands under lease
+	open          bool      // the key is written under lease
 	lease         uint64    // 0: none
 	renewalSentAt time.Time // see RenewalSentAt
-	copySentAt    time.Time // when the newest copy of a renewal of the lease was sent; zero: none was
+	copySentAt    time.Time // when the latest copy of a renewal of the lease was sent; zero: none
 	revision      uint64    // of the key, once open
 
-	keyRead     bool // previousKey is what the key is to be replaced under
+	keyRead     bool // previousKey is the precondition for writing the key
 	previousKey Key
-	yielding    bool      // another process has taken the key: wait until it is gone
+	yielding    bool      // another process owns the key: wait until the key is deleted
 	retryAt     time.Time // no step before this
 	reopenAt    time.Time // after stepping down, no read of the key before this
 
-	toRevoke       []uint64 // leases of this controller that are of no use any more
-	revokeAttempts int      // for the first of toRevoke
-	steppingDown   bool     // toRevoke comes before anything else
+	toRevoke       []uint64 // obsolete leases of this controller
+	revokeAttempts int      // for the first element of toRevoke
+	steppingDown   bool     // toRevoke takes precedence over all other steps
 }
 
 // New returns the session of a process that has just started.
 func New(t Timing, d DisabledGuards) *Session { return &Session{timing: t, disabled: d} }
 
-// Lease returns the lease that the controller's key stands under, or 0 while no
+// Lease returns the lease under which the controller's key is written, or 0 while no
 // session is open.
 func (s *Session) Lease() uint64 {
 	if !s.open {
@@ -53,20 +52,20 @@
 	return s.lease
 }
 
-// RenewalSentAt returns when the last successful grant or renewal of the lease
-// was sent. The lease lasts at least for its duration from then on; the time of
-// the response would be too late to count from.
+// RenewalSentAt returns when the last successful grant or renewal of the lease was sent.
+// The lease is valid for at least its duration from then on. Counting from the time of the
+// response would overestimate its validity.
 func (s *Session) RenewalSentAt() time.Time { return s.renewalSentAt }
 
-// IsUnanswered reports whether the store has not answered for a while: no renewal that
-// was sent within the last two renewal intervals, which leaves room for one lost answer.
-// It is false while no session is open.
+// IsUnanswered reports whether the store has answered no renewal that was sent within the
+// last two renewal intervals, which tolerates one lost response. It returns false while no
+// session is open.
 func (s *Session) IsUnanswered(now time.Time) bool {
 	return s.open && now.Sub(s.renewalSentAt) > unansweredIntervals*s.timing.RenewInterval
 }
 
-// Next returns the next step. It changes nothing, so it may be called again at
-// any time, as after ObserveKey or StepDown.
+// Next returns the next step. It has no side effects and may be called again at any time,
+// for example after ObserveKey or StepDown.
 func (s *Session) Next() Step {
 	switch {
 	case s.mustRevoke():
@@ -82,8 +81,8 @@
 	}
 }
 
-// mustRevoke reports whether a revocation is the next step. An open session
-// renews its own lease first.
+// mustRevoke reports whether a revocation is the next step. In an open session a due
+// renewal has priority.
 func (s *Session) mustRevoke() bool {
 	if len(s.toRevoke) == 0 {
 		return false
@@ -91,15 +90,15 @@
 	return s.steppingDown || s.open && s.retryAt.Before(s.nextRenewal())
 }
 
-// nextRenewal returns when the lease is to be renewed, or a copy of a renewal that is
-// without an answer is to be sent.
+// nextRenewal returns when the next renewal, or the next copy of an unanswered renewal, is
+// due.
 func (s *Session) nextRenewal() time.Time {
 	return later(s.renewalSentAt.Add(s.timing.RenewInterval), s.copySentAt.Add(s.timing.RepeatInterval))
 }
 
-// RecordSent records that a step that Next returned is being sent. It must be called
-// before a RenewLease is sent: Next then returns the next copy of it, which may be sent
-// while this one is without an answer. All other steps are sent one after the other.
+// RecordSent records that a step returned by Next is being sent. It must be called before
+// a RenewLease is sent: Next then returns the next copy, which may be sent while this one
+// is unanswered. All other steps are sent one at a time.
 func (s *Session) RecordSent(step Step, now time.Time) {
 	if step.Operation == RenewLease && s.open && step.Lease == s.lease {
 		s.copySentAt = now
@@ -113,8 +112,8 @@
 	return a
 }
 
-// HandleResult records the result of a step that Next returned. A result that
-// the loss of the session has overtaken meanwhile is ignored.
+// HandleResult records the result of a step returned by Next. It ignores results of a
+// session that has been lost meanwhile.
 func (s *Session) HandleResult(step Step, r Result, now time.Time) {
 	switch step.Operation {
 	case ReadKey:
@@ -141,7 +140,7 @@
 	s.retryAt = time.Time{}
 	switch {
 	case s.lease != 0 && r.Key.Session == s.lease:
-		// A write without a response had been carried out.
+		// A write without a response was executed.
 		s.enterOpen(r.Key.Revision)
 	case s.yielding && r.Key.Session != 0:
 		s.retryAfter(s.timing.YieldInterval, now)
@@ -169,16 +168,16 @@
 	case LeaseExpired:
 		s.lease, s.retryAt = 0, time.Time{}
 	default:
-		// Whether it was carried out shows in the key, which is read again. If
-		// it was not, it is repeated under the same lease and precondition, so
-		// that it takes effect at most once.
+		// Read the key again to determine whether the write was executed. If not,
+		// it is repeated under the same lease and precondition, so that it takes
+		// effect at most once.
 		s.keyRead = false
 		s.retryAfter(s.timing.RetryInterval, now)
 	}
 }
 
-// handleRenewal records the result of one copy of a renewal. The copies may be answered
-// in any order: the lease counts from the latest sending that is known to be carried out.
+// handleRenewal records the result of one copy of a renewal. The copies may be answered in
+// any order: the lease counts from the latest send time of an executed copy.
 func (s *Session) handleRenewal(step Step, r Result) {
 	if !s.open || step.Lease != s.lease {
 		return
@@ -206,8 +205,8 @@
 
 func (s *Session) retryAfter(d time.Duration, now time.Time) { s.retryAt = now.Add(d) }
 
-// enterOpen notes that the key stands under the lease, and has the predecessor's
-// lease revoked.
+// enterOpen records that the key is written under the lease, and schedules the revocation
+// of the predecessor's lease.
 func (s *Session) enterOpen(revision uint64) {
 	s.open, s.revision, s.retryAt = true, revision, time.Time{}
 	if predecessor := s.previousKey.Session; predecessor != 0 && predecessor != s.lease {
@@ -217,11 +216,11 @@
 	s.previousKey = Key{}
 }
 
-// StepDown gives an open session up so that another controller can get what is
-// held under it. The lease is revoked at once, and the next session is not
-// opened before reopenAt. The caller must stop acting under the session before
-// it sends the revocation: whoever then sees the key gone takes the session for
-// expired, as if the process had ended.
+// StepDown ends an open session so that another controller can acquire what is held under
+// it. The lease is revoked at once, and the next session is not opened before reopenAt. The
+// caller must stop acting under the session before it sends the revocation: controllers
+// that then find the key deleted consider the session expired, as if the process had
+// terminated.
 func (s *Session) StepDown(reopenAt time.Time) {
 	if !s.open {
 		return
@@ -230,10 +229,9 @@
 	s.steppingDown, s.reopenAt = true, reopenAt
 }
 
-// ObserveKey compares the session with its key as a copy of the records shows
-// it. The copy reflects every change up to the given revision; one that is older
-// than the key proves nothing. It reports whether the session is lost: the key
-// is gone, or another process has taken it.
+// ObserveKey compares the session with its key in a copy of the records. The copy reflects
+// every change up to the given revision; a copy older than the key is ignored. ObserveKey
+// reports whether the session is lost: the key is deleted or owned by another process.
 func (s *Session) ObserveKey(key Key, revision uint64) (lost bool) {
 	if !s.open || revision < s.revision || key.Session == s.lease || s.disabled&WithoutKeyWatch != 0 {
 		return false
@@ -243,9 +241,9 @@
 	return true
 }
 
-// close gives up the open session, for Next to open another.
+// close ends the open session, so that Next opens another.
 func (s *Session) close() {
-	// All that stands under the lease goes with it, if it has not expired yet.
+	// Revoking the lease also deletes all keys written under it.
 	s.toRevoke = append(s.toRevoke, s.lease)
 	s.open, s.keyRead, s.lease, s.revision, s.retryAt = false, false, 0, 0, time.Time{}
 	s.yielding = false
--- a/internal/session/session_test.go
+++ b/internal/session/session_test.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// In every order of crashes, lost responses, delayed requests, expired leases
-// and step-downs within the bounds, no process's key is replaced while its lease
-// is valid, and the running process opens a session that the others see.
+// In every sequence of crashes, lost responses, delayed requests, expired leases and
+// step-downs within the bounds, no process's key is replaced while its lease is valid, and
+// the running process eventually opens a visible session.
 func TestEarlierProcessNeverReplacesKeyOfLiveSession(t *testing.T) {
 	for name, bounds := range map[string]eventCounts{
-		// crashes 2, lostMessages 2, expirations 2 has 2,169,061 states and holds too; it takes a minute.
+		// crashes 2, lostMessages 2, expirations 2 has 2,169,061 states and passes too, but takes a minute.
 		"two crashes": {crashes: 2, lostMessages: 1, expirations: 1},
 		"step-down":   {crashes: 1, lostMessages: 1, expirations: 1, stepDowns: 1},
 	} {
@@ -24,7 +24,7 @@
 	}
 }
 
-// Without the precondition on the key the model finds a violation.
+// The model detects key writes without a precondition.
 func TestModelFindsUnconditionalWrites(t *testing.T) {
 	for name, disabled := range map[string]DisabledGuards{
 		"key watched":     0,
@@ -40,9 +40,9 @@
 	}
 }
 
-// The key of a running process is replaced by a session that nobody renews, as
-// by an unconditional write of an earlier version. The process notices, waits
-// until that session has expired, and opens another.
+// The key of a running process is replaced by a session that is not renewed, for example
+// by an unconditional write of an earlier version. The process detects this, waits until
+// that session has expired, and opens another.
 func TestReplacedKeyEndsSession(t *testing.T) {
 	for _, c := range []struct {
 		name     string
@@ -76,8 +76,8 @@
 	}
 }
 
-// Two processes of one name, which the listening ports normally prevent, don't
-// take the key from each other for ever: the one that lost it yields.
+// Two processes of one name, which the listening ports normally prevent, don't replace
+// each other's key indefinitely: the one that lost it yields.
 func TestDuplicateProcessesDoNotFightOverKey(t *testing.T) {
 	for _, c := range []struct {
 		name     string
@@ -107,23 +107,22 @@
 	}
 }
 
-// A copy of the records that is older than the key proves nothing.
+// A copy of the records that is older than the key is ignored.
 func TestStaleKeyObservationIsIgnored(t *testing.T) {
 	m := newModel(0)
 	m.revision = 40
 	m.openSession()
 	if m.session.ObserveKey(Key{}, m.revision-1) || m.session.Lease() == 0 {
-		t.Error("lost by a copy that is older than the key")
+		t.Error("session lost because of a copy that is older than the key")
 	}
 	if !m.session.ObserveKey(Key{}, m.revision) || m.session.Lease() != 0 {
-		t.Error("not lost by a newer copy")
+		t.Error("session not lost despite a newer copy")
 	}
 }
 
-// A controller that steps down revokes its lease before it asks for another, so
-// that the others need not wait for it to expire, and doesn't reopen before the
-// given time. A lost response is retried, and a store that doesn't respond does
-// not delay it for ever.
+// A controller that steps down revokes its lease before it requests another, so that the
+// others need not wait for the expiry, and doesn't reopen before the given time. A
+// revocation without a response is retried, but only a limited number of times.
 func TestStepDownRevokesLeaseBeforeReopening(t *testing.T) {
 	for lost := range 5 {
 		m := newModel(0)
@@ -159,13 +158,13 @@
 	}
 }
 
-// Guards against a store that counts as not answering after one lost answer, or never; and
-// before a session is open.
+// Guards against a store that is considered unresponsive after one lost response, or before
+// a session is open, and against one that never is.
 func TestIsUnanswered(t *testing.T) {
 	const lease = 10 * time.Second
 	s := New(TimingFor(lease, 0), 0)
 	if s.IsUnanswered(testTime.Add(time.Hour)) {
-		t.Error("no session is open")
+		t.Error("unanswered although no session is open")
 	}
 	s.HandleResult(Step{Operation: ReadKey}, Result{}, testTime)
 	s.HandleResult(Step{Operation: GrantLease}, Result{Lease: 1, SentAt: testTime}, testTime)
--- a/internal/session/step.go
+++ b/internal/session/step.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// Key is a controller's key as it was read from the key-value store. The zero
-// value means that there is none.
+// Key is the state of a controller's key in the key-value store. The zero value means that
+// the key does not exist.
 type Key struct {
-	Session  uint64 // the lease of the session that the key names
+	Session  uint64 // the lease of the session named by the key
 	Revision uint64 // of the key's last change
 }
 
@@ -26,24 +26,24 @@
 	Operation Operation
 	Lease     uint64    // WriteKey, RenewLease, RevokeLease: the lease concerned
 	Revision  uint64    // WriteKey: the precondition, 0 if the key must not exist
-	NotBefore time.Time // the zero time means at once
+	NotBefore time.Time // the zero time means immediately
 }
 
-// Outcome is what became of a step.
+// Outcome is the outcome of a step.
 type Outcome int
 
-// The outcomes of a step. A step that Failed may have been carried out all the
-// same, or may be carried out later.
+// The outcomes of a step. A Failed step may nevertheless have been executed, or may be
+// executed later.
 const (
 	Succeeded    Outcome = iota
-	LeaseExpired         // the lease does not exist any more
+	LeaseExpired         // the lease no longer exists
 	Failed               // no response, refused, or a precondition did not hold
 )
 
-// Result is the outcome of a step with what the store responded.
+// Result is the outcome of a step with the store's response.
 type Result struct {
 	Outcome  Outcome
-	SentAt   time.Time // when the request was sent: a lease counts from then
+	SentAt   time.Time // when the request was sent; leases count from then
 	Lease    uint64    // GrantLease: the new lease
 	Key      Key       // ReadKey: the key
 	Revision uint64    // WriteKey: the key's new revision
--- a/internal/storage/client.go
+++ b/internal/storage/client.go
@@ -16,14 +16,14 @@
 
 	requestConns     = 8
 	watchConns       = 2
-	leaseConns       = 6 // copies of a renewal, and one other step of a session
+	leaseConns       = 6 // for copies of a renewal and one other step of a session
 	workerLeaseConns = 8
 )
 
-// Client talks to the key-value store. Requests that serve the controller's lease, and
-// watches, use connections of their own and bypass the budget, so that other work never
-// costs a lease. Transactions that workers' leases wait for use connections of their own
-// too, but keep to the budget. It is safe for concurrent use.
+// Client is a client of the key-value store. Watches and requests for the controller's
+// lease use dedicated connections and bypass the budget, so that other requests never cause
+// the loss of the lease. Transactions on which workers' leases depend also use dedicated
+// connections, but are subject to the budget. It is safe for concurrent use.
 type Client struct {
 	baseURL           string
 	httpClient        *transport.Client
@@ -36,9 +36,9 @@
 	rejectLog rate.Sometimes
 }
 
-// NewClient returns a client of the store at addr (host:port). It keeps to one
-// controller's share of the store's limits: rps requests and writeRPS writes a
-// second for all controllers together.
+// NewClient returns a client of the store at addr (host:port). It limits itself to one
+// controller's share of the store's limits of rps requests and writeRPS writes per second
+// for all controllers together.
 func NewClient(addr string, rps, writeRPS float64, controllers int) *Client {
 	c := newClient("http://"+addr, rps, writeRPS, controllers)
 	c.httpClient = transport.NewClient(requestConns, requestTimeout)
@@ -67,15 +67,15 @@
 	}
 }
 
-// SetLeading gives the client the leader's share of the store's writes, or that of
-// any other controller. What was saved up of an unchanged share is kept.
+// SetLeading sets the client's share of the store's writes to that of the leader or of any
+// other controller. If the share is unchanged, accumulated tokens are kept.
 func (c *Client) SetLeading(leads bool, writeRPS float64, controllers int) {
 	c.budget.setLeading(leads, writeRPS, controllers)
 }
 
-// AvailableWrites is how many writes may be made now.
+// AvailableWrites returns how many writes may be made now.
 func (c *Client) AvailableWrites() int { return c.budget.availableWrites() }
 
-// DeferrableWrites is how many writes that can wait may be made now: half of the
-// burst stays reserved for those that can't.
+// DeferrableWrites returns how many deferrable writes may be made now: half of the burst
+// is reserved for other writes.
 func (c *Client) DeferrableWrites() int { return c.budget.deferrableWrites() }
--- a/internal/storage/hedged_txn.go
+++ b/internal/storage/hedged_txn.go
@@ -9,26 +9,26 @@
 )
 
 const (
-	// HedgeInterval is how long a hedged transaction may go without an answer before
-	// another copy is sent.
+	// HedgeInterval is how long a hedged transaction may be unanswered before another
+	// copy is sent.
 	HedgeInterval = 400 * time.Millisecond
-	// maxTxnCopies is how many copies are sent at most.
+	// maxTxnCopies is the maximum number of copies sent.
 	maxTxnCopies = 5
 )
 
-// txnAnswer is what came of one copy of a transaction.
+// txnAnswer is the result of one copy of a transaction.
 type txnAnswer struct {
 	revision uint64
 	err      error
 }
 
-// HedgedTxn is Txn for a transaction that workers' leases wait for. While it is without an
-// answer, copies of it are sent, if the budget has room for them beside other writes; the
-// first answer that says what became of the transaction counts. It returns ErrUnknown about
-// 2.6 s after the call if none comes.
+// HedgedTxn is Txn for a transaction on which workers' leases depend. While the transaction
+// is unanswered, it sends further copies if the budget allows deferrable writes. The first
+// conclusive answer determines the result. Without any answer it returns ErrUnknown about
+// 2.6 s after the call.
 //
-// The transaction must write a key that its preconditions name, so that no more than one
-// copy is ever carried out. ErrConflict may then mean that another copy was.
+// The transaction must write a key that is named by its preconditions, so that at most one
+// copy is executed. ErrConflict may mean that another copy was executed.
 func (c *Client) HedgedTxn(ctx context.Context, txn protocol.Txn) (uint64, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -60,7 +60,7 @@
 	}
 }
 
-// isFinal reports whether the answer holds for all copies of the transaction.
+// isFinal reports whether the answer is conclusive for all copies of the transaction.
 func (a txnAnswer) isFinal() bool {
 	return a.err == nil || errors.Is(a.err, ErrConflict) || errors.Is(a.err, ErrLeaseNotFound)
 }
