--- a/internal/storage/rate_budget.go
+++ b/internal/storage/rate_budget.go
@@ -10,39 +10,39 @@
 )
 
 const (
-	// watchFraction is the fraction of the store's requests that is left to
+	// watchFraction is the fraction of the store's request rate that is reserved for
 	// watches and lease renewals.
 	watchFraction = 0.3
 
-	// watchUtilization is how much of watchFraction watches may use; renewals
-	// have the rest.
+	// watchUtilization is the fraction of watchFraction that watches may use; the
+	// rest is for renewals.
 	watchUtilization = 0.8
 
-	// writeUtilization is how much of the store's writes is shared out.
+	// writeUtilization is the fraction of the store's write rate that is allocated.
 	writeUtilization = 0.9
 
-	// leaderShares is how many controllers' shares of the writes the leader gets.
+	// leaderShares is the number of controllers' write shares that the leader gets.
 	leaderShares = 3
 
-	// maxOverdraft bounds how much of its future budget a controller may have used.
+	// maxOverdraft bounds how far a controller may use its budget in advance.
 	maxOverdraft = 3 * time.Second
 )
 
-// rateBudget keeps a controller to its share of the store's rate limits. Writes have
-// a limit of their own, which is below that of the requests.
+// rateBudget limits a controller to its share of the store's rate limits. Writes have a
+// separate limit, which is lower than that of requests.
 type rateBudget struct {
-	mu       sync.Mutex // held from working out a delay until it is reserved
+	mu       sync.Mutex // makes computing a delay and reserving it atomic
 	requests *rate.Limiter
 	writes   *rate.Limiter
 }
 
-// reservation is what a request takes of the budget.
+// reservation is the part of the budget that a request uses.
 type reservation struct {
 	writes  int           // 0: a read
 	maxWait time.Duration // a request that would have to wait longer is refused
-	// overdraft lets the request take writes ahead of time: users seldom come to
-	// all controllers alike, and the others' shares are mostly not used up. What
-	// does not overdraw then has to wait.
+	// overdraft allows the request to use future write budget: users are rarely
+	// distributed evenly over the controllers, and the other controllers' shares are
+	// mostly not exhausted. Requests without overdraft must then wait.
 	overdraft bool
 }
 
@@ -53,13 +53,13 @@
 	}
 }
 
-// writeShare is one controller's share of the writes; the leader has several.
+// writeShare returns one controller's share of the write rate; the leader has several.
 func writeShare(writeRPS float64, controllers int) float64 {
 	return writeUtilization * writeRPS / float64(controllers-1+leaderShares)
 }
 
-// newLimiter returns a limiter that begins with half of its burst: if all controllers
-// restart together, again and again, full bursts would exceed the store's rate.
+// newLimiter returns a limiter that starts with half of its burst: full bursts would exceed
+// the store's rate if all controllers restarted together repeatedly.
 func newLimiter(perSecond float64) *rate.Limiter {
 	limiter := rate.NewLimiter(rate.Limit(perSecond), burst(perSecond))
 	limiter.AllowN(time.Now(), burst(perSecond)/2)
@@ -68,24 +68,23 @@
 
 func burst(perSecond float64) int { return max(1, int(perSecond)) }
 
-// WatchPause is how long each controller pauses between two watches so that all
-// together stay within their share of the store's requests, however often something
-// changes.
+// WatchPause returns the pause of each controller between two watches with which all
+// controllers together stay within their share of the store's requests, regardless of the
+// rate of changes.
 func WatchPause(rps float64, controllers int) time.Duration {
 	seconds := float64(controllers) / (watchFraction * watchUtilization * rps)
 	return time.Duration(seconds * float64(time.Second))
 }
 
-// MinRenewalInterval is the shortest interval between renewals of one controller's lease
-// with which all controllers together stay within what watches leave of their share of the
-// store's requests.
+// MinRenewalInterval returns the shortest interval between renewals of one controller's
+// lease with which all controllers together stay within the part of the store's request
+// rate that is reserved for renewals.
 func MinRenewalInterval(rps float64, controllers int) time.Duration {
 	seconds := float64(controllers) / (watchFraction * (1 - watchUtilization) * rps)
 	return time.Duration(seconds * float64(time.Second))
 }
 
-// setLeading changes the limiter only if its rate changes, as that would drop what
-// was saved up.
+// setLeading changes the limiter only if its rate changes, to keep accumulated tokens.
 func (b *rateBudget) setLeading(leads bool, writeRPS float64, controllers int) {
 	shares := 1.0
 	if leads {
@@ -105,8 +104,8 @@
 	return max(0, int(b.writes.Tokens()-float64(b.writes.Burst())/2))
 }
 
-// await takes r from the budget and waits until it may be used. If the wait would be
-// longer than r.maxWait, it takes nothing and returns ErrBudgetExhausted at once.
+// await reserves r and waits until it may be used. If the wait would exceed r.maxWait, it
+// reserves nothing and returns ErrBudgetExhausted immediately.
 func (b *rateBudget) await(ctx context.Context, r reservation) error {
 	wait, ok := b.reserve(time.Now(), r)
 	if !ok {
@@ -121,17 +120,17 @@
 	return nil
 }
 
-// reserve works out how long r would have to wait, and takes it only if that is no
-// longer than r.maxWait. Taking and then cancelling would not do: a cancelled
-// reservation of rate.Limiter returns less than it took if others came after it, so
-// that many refused requests would leave a controller in a debt that it never pays off.
+// reserve computes how long r would have to wait, and reserves it only if that does not
+// exceed r.maxWait. Reserving and then cancelling is not equivalent: a cancelled reservation
+// of rate.Limiter returns fewer tokens than it used if others followed it, so that many
+// refused requests would leave the controller with a permanent token deficit.
 func (b *rateBudget) reserve(now time.Time, r reservation) (wait time.Duration, ok bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if r.writes == 0 {
-		// Only reads wait for their share of the requests, and for what writes have
-		// taken of it: otherwise many users asking at once would use it up ahead of
-		// time, and nothing that can't wait would ever be written.
+		// Only reads wait for the request limiter, which writes also use. Otherwise
+		// many concurrent user requests would exhaust it in advance, and writes
+		// that can't wait would never be sent.
 		wait = delay(b.requests, now, 1)
 	}
 	writes := min(r.writes, b.writes.Burst())
@@ -146,7 +145,7 @@
 	return wait, true
 }
 
-// delay is how long limiter would let n events wait.
+// delay returns how long n events would have to wait for the limiter.
 func delay(limiter *rate.Limiter, now time.Time, n int) time.Duration {
 	missing := float64(n) - limiter.TokensAt(now)
 	if missing <= 0 || limiter.Limit() <= 0 {
--- a/internal/storage/sleep.go
+++ b/internal/storage/sleep.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// sleep pauses for d and returns nil, or the context's error if that ends sooner.
+// sleep waits for d and returns nil, or the context's error if the context ends earlier.
 func sleep(ctx context.Context, d time.Duration) error {
 	if d <= 0 {
-		return ctx.Err() // a timer of no time crashes the race detector in simulated time
+		return ctx.Err() // a timer with zero duration crashes the race detector in simulated time
 	}
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/internal/storage/watch.go
+++ b/internal/storage/watch.go
@@ -11,16 +11,16 @@
 )
 
 const (
-	// watchGrace is how much longer than a watch its answer may take.
+	// watchGrace is added to the wait of a watch for the timeout of its request.
 	watchGrace = 5 * time.Second
 
-	// catchUpMaxWait is how long ChangesSince may wait for its share of the budget.
+	// catchUpMaxWait is how long ChangesSince may wait for budget.
 	catchUpMaxWait = 500 * time.Millisecond
 )
 
-// Watch returns the changes under a prefix since a revision, as soon as there are any
-// and after the given wait at the latest. ErrCompacted means that the store no longer
-// has them all. It bypasses the budget.
+// Watch returns the changes under a prefix since a revision, as soon as there are any or
+// after the given wait. ErrCompacted means that the store no longer has all of them. Watch
+// bypasses the budget.
 func (c *Client) Watch(ctx context.Context, prefix string, since uint64, wait time.Duration) (protocol.WatchResponse, error) {
 	var changes protocol.WatchResponse
 	err := c.watchClient.DoWithTimeout(ctx, wait+watchGrace, http.MethodGet, c.changesURL(prefix, since, wait), &changes)
@@ -28,7 +28,7 @@
 }
 
 // ChangesSince returns the store's revision and all changes under a prefix since another
-// revision, without waiting for one. Unlike Watch it keeps within the budget.
+// revision, without waiting for changes. Unlike Watch it is subject to the budget.
 func (c *Client) ChangesSince(ctx context.Context, prefix string, since uint64) (protocol.WatchResponse, error) {
 	var changes protocol.WatchResponse
 	if err := c.budget.await(ctx, reservation{maxWait: catchUpMaxWait}); err != nil {
