--- a/internal/storage/read.go
+++ b/internal/storage/read.go
@@ -10,12 +10,12 @@
 	"reedtrack/internal/protocol"
 )
 
-// interactiveTimeout is how long a user's request may wait for its share of the
-// budget. What would have to wait longer is refused at once.
+// interactiveTimeout is how long a user's request may wait for budget. A request that would
+// have to wait longer is refused immediately.
 const interactiveTimeout = time.Second
 
-// pageSize is how many keys are read in a request: as many as the store gives. All
-// controllers may read all records at once, again and again.
+// pageSize is the number of keys per request, the maximum that the store returns. It is
+// large because all controllers may read all records concurrently and repeatedly.
 const pageSize = 1000
 
 // Get reads a key within the budget, or returns ErrNotFound.
@@ -28,8 +28,8 @@
 	return item, classify(err)
 }
 
-// ListPage reads one page of the keys under a prefix, in their order, from after the
-// key since on ("" for the first page). It bypasses the budget.
+// ListPage reads one page of the keys under a prefix, in order, beginning after the key
+// since ("" for the first page). It bypasses the budget.
 func (c *Client) ListPage(ctx context.Context, prefix, since string) (protocol.RangeResponse, error) {
 	query := url.Values{"under": {prefix}, "limit": {strconv.Itoa(pageSize)}}
 	if since != "" {
--- a/internal/storage/read_index.go
+++ b/internal/storage/read_index.go
@@ -11,42 +11,42 @@
 )
 
 const (
-	// catchUpTimeout is how long one round may take in all.
+	// catchUpTimeout is the timeout of one round.
 	catchUpTimeout = time.Second
-	// confirmTimeout is how long a caller waits for its round: users give up
-	// after two seconds.
+	// confirmTimeout is how long a caller waits for its round. Users time out after
+	// two seconds.
 	confirmTimeout = 1500 * time.Millisecond
-	// confirmShare is the share of this controller's request rate that rounds
-	// may use; the rest is for the records that only a read can tell of.
+	// confirmShare is the share of this controller's request rate that rounds may use;
+	// the rest is for records that must be read from the store.
 	confirmShare = 0.5
-	// maxRoundInterval bounds the time between rounds where the rate is low.
+	// maxRoundInterval bounds the time between rounds if the rate limit is low.
 	maxRoundInterval = 250 * time.Millisecond
 )
 
-// ReadIndex makes reads of a replica linearizable: after Confirm the replica is as
-// new as anything that anybody was told before Confirm was called. It batches: one
-// request asks the store for its changes, and serves every caller that had come
-// before it was sent, so requests are bounded by round trips and not by callers.
+// ReadIndex makes reads of a replica linearizable: after Confirm the replica reflects every
+// state that any client had observed before Confirm was called. Calls are batched: one
+// request for the store's changes serves all callers that were waiting when it was sent, so
+// the number of requests does not depend on the number of callers.
 type ReadIndex struct {
 	replica  *Replica
-	interval time.Duration // at least, between two rounds
+	interval time.Duration // minimum interval between two rounds
 	wake     chan struct{}
 	failed   rate.Sometimes
 
 	mu        sync.Mutex
-	next      *round // the round that has not been sent; nil: nobody waits for one
-	current   *round // the round under way, or the last one
-	joinStale bool   // set by a test: callers join the round under way
+	next      *round // the round that has not been sent; nil: no caller waits for one
+	current   *round // the round in progress, or the last one
+	joinStale bool   // set by a test: callers join the round in progress
 }
 
-// round is one request and those who wait for it.
+// round is one request shared by its waiting callers.
 type round struct {
-	done chan struct{} // closed when err stands
+	done chan struct{} // closed when err is final
 	err  error
 }
 
-// NewReadIndex returns a read index over a replica that is followed by its Run.
-// Its rounds keep to a share of the client's request rate.
+// NewReadIndex returns a read index of a replica whose Run is active. Its rounds use a share
+// of the client's request rate.
 func NewReadIndex(replica *Replica, requestsPerSecond float64, controllers int) *ReadIndex {
 	interval := maxRoundInterval
 	if perSecond := confirmShare * (1 - watchFraction) * requestsPerSecond / float64(max(1, controllers)); perSecond > 0 {
@@ -60,8 +60,8 @@
 	}
 }
 
-// Confirm returns nil once the replica shows a revision that the store had reached
-// after the call began. ErrNotLoaded says that the replica can't tell anything.
+// Confirm returns nil once the replica reflects a revision that is at least the store's
+// revision when the call began. ErrNotLoaded means that the replica has no data.
 func (x *ReadIndex) Confirm(ctx context.Context) error {
 	if !x.replica.isLoaded() {
 		return ErrNotLoaded
@@ -77,8 +77,8 @@
 	}
 }
 
-// join returns the next round. The round under way does not do: its request may
-// have been answered before something was told that this caller must not miss.
+// join returns the next round. The round in progress is not sufficient: its request may have
+// been answered before a change that this caller must observe.
 func (x *ReadIndex) join() *round {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -95,7 +95,7 @@
 	return x.next
 }
 
-// Run carries out rounds until ctx ends.
+// Run executes rounds until ctx ends.
 func (x *ReadIndex) Run(ctx context.Context) {
 	for {
 		select {
@@ -105,7 +105,7 @@
 		}
 		x.mu.Lock()
 		r := x.next
-		x.next, x.current = nil, r // from here on callers need another round
+		x.next, x.current = nil, r // later callers need another round
 		x.mu.Unlock()
 		r.err = x.catchUp(ctx)
 		close(r.done)
--- a/internal/storage/replica.go
+++ b/internal/storage/replica.go
@@ -15,32 +15,32 @@
 )
 
 const (
-	reloadDelay     = 300 * time.Millisecond // before all records are read again
+	reloadDelay     = 300 * time.Millisecond // before all records are reloaded
 	watchRetryDelay = 200 * time.Millisecond
 	minPageBackoff  = 50 * time.Millisecond
 	maxPageBackoff  = time.Second
 )
 
-// Replica copies all records under LivePrefix. Run keeps it; CatchUp may be called beside
-// it, from any goroutine.
+// Replica maintains a copy of all records under LivePrefix. Run keeps the copy up to date;
+// CatchUp may be called concurrently from any goroutine.
 type Replica struct {
 	Client *Client
-	// Apply is given changes in the order of their revisions, one call at a time. After
-	// each call the copy shows the records as of one revision.
+	// Apply is called with changes in the order of their revisions, one call at a time.
+	// After each call the copy reflects the records as of one revision.
 	Apply func(batch []protocol.Change)
-	// Synced is called by Run after each batch, also an empty one, with the time at which
-	// the request was sent: all changes made before then have been applied.
+	// Synced is called by Run after each batch, including empty ones, with the time at
+	// which the request was sent: all earlier changes have been applied.
 	Synced func(sent time.Time)
-	// WatchTimeout is after how long a watch is answered though nothing has changed.
+	// WatchTimeout is how long a watch waits for changes.
 	WatchTimeout time.Duration
 	// WatchPause is the pause between two watches, see the function WatchPause.
 	WatchPause time.Duration
 
 	mu        sync.Mutex
 	revisions map[string]uint64 // of the records in the copy, by key
-	loaded    bool              // the copy shows some revision; false while it is reloaded
-	loads     uint64            // how often loading has begun
-	applied   uint64            // the copy shows the store as of this revision
+	loaded    bool              // the copy reflects a revision; false during a reload
+	loads     uint64            // number of loads begun
+	applied   uint64            // the copy reflects the store as of this revision
 	highest   uint64            // the highest revision ever applied
 }
 
@@ -57,7 +57,7 @@
 	}
 }
 
-// beginLoad marks the copy as not loaded, and any CatchUp that is under way as outdated.
+// beginLoad marks the copy as not loaded and any concurrent CatchUp as outdated.
 func (r *Replica) beginLoad() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -71,10 +71,10 @@
 	return r.loaded
 }
 
-// load reads all records, applies what differs from the copy, and returns the revision up
-// to which the copy is complete. The pages are read one after the other, so the changes
-// since the first are added before anything is shown: of two records that one transaction
-// changed, a reader sees both as they were or both as they are.
+// load reads all records, applies the differences from the copy, and returns the revision
+// up to which the copy is complete. The pages are read sequentially, so the changes since
+// the first page are merged before the result becomes visible: readers see transactions on
+// several records atomically.
 func (r *Replica) load(ctx context.Context) (uint64, error) {
 	records, revision, err := r.readPages(ctx)
 	if err != nil {
@@ -99,7 +99,7 @@
 	return changes.Revision, nil
 }
 
-// replace makes the copy show records, which are complete up to revision.
+// replace replaces the content of the copy by records, which are complete up to revision.
 func (r *Replica) replace(records map[string]protocol.Change, revision uint64, sent time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -116,7 +116,7 @@
 }
 
 // readPages reads all records by key, each as the change that wrote it, and returns the
-// revision of the first page: all changes up to it are among the records.
+// revision of the first page. The records include all changes up to that revision.
 func (r *Replica) readPages(ctx context.Context) (map[string]protocol.Change, uint64, error) {
 	records := map[string]protocol.Change{}
 	var revision uint64
@@ -139,9 +139,9 @@
 	}
 }
 
-// listPage reads one page, and again if the store refuses it: when all controllers start
-// together they exceed its rate, and one that then began from the first page again would
-// keep the others from ever reading all.
+// listPage reads one page and retries if the store refuses the request. When all controllers
+// start together they exceed the store's rate; restarting from the first page would then
+// prevent the others from ever reading all records.
 func (r *Replica) listPage(ctx context.Context, since string) (protocol.RangeResponse, error) {
 	for backoff := minPageBackoff; ; backoff *= 2 {
 		page, err := r.Client.ListPage(ctx, LivePrefix, since)
@@ -172,8 +172,9 @@
 	return batch
 }
 
-// watch waits for the changes since a revision, applies them, and returns the revision up
-// to which the copy is then complete. A store that does not answer is asked again.
+// watch waits for changes since a revision, applies them, and returns the revision up to
+// which the copy is then complete. If the store refuses or does not answer, watch returns
+// the old revision, so that the caller retries.
 func (r *Replica) watch(ctx context.Context, since uint64) (uint64, error) {
 	sent := time.Now()
 	changes, err := r.Client.Watch(ctx, LivePrefix, since, r.WatchTimeout)
@@ -192,17 +193,17 @@
 	r.mu.Unlock()
 	r.Synced(sent)
 	if len(changes.Changes) > 0 {
-		// In a busy deployment something changes all the time: without a pause the
-		// watches of all controllers alone would use up the store's rate.
+		// A busy deployment changes continuously: without a pause the watches of
+		// all controllers alone would exhaust the store's rate.
 		_ = sleep(ctx, r.WatchPause)
 	}
 	return changes.Revision, nil
 }
 
-// take records an answer that holds all changes since a revision which the copy showed
-// when the request was sent, and returns those that the copy lacks. Both the watch and
-// CatchUp may deliver a change: the second delivery is dropped, as it could bring back
-// what has been deleted since.
+// take records an answer with all changes since the revision that the copy reflected when
+// the request was sent, and returns the changes missing from the copy. Both the watch and
+// CatchUp may deliver a change; the second delivery is dropped, because it could restore
+// records that have been deleted since.
 func (r *Replica) take(changes protocol.WatchResponse) []protocol.Change {
 	var batch []protocol.Change
 	for _, change := range changes.Changes {
@@ -222,8 +223,8 @@
 	return batch
 }
 
-// CatchUp brings the copy up to a revision that the store reached after the call began.
-// It takes one request, however much has changed.
+// CatchUp updates the copy to a revision that is at least the store's revision when the
+// call began. It needs one request, regardless of the number of changes.
 func (r *Replica) CatchUp(ctx context.Context) error {
 	r.mu.Lock()
 	loaded, loads, since, highest := r.loaded, r.loads, r.applied, r.highest
@@ -241,7 +242,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.loads != loads {
-		return ErrNotLoaded // what was reloaded since may be newer than this answer
+		return ErrNotLoaded // the reloaded copy may be newer than this answer
 	}
 	if batch := r.take(changes); len(batch) > 0 {
 		r.Apply(batch)
--- a/internal/storage/txn.go
+++ b/internal/storage/txn.go
@@ -23,26 +23,26 @@
 
 func init() { prometheus.MustRegister(rateRefusals, rejections) }
 
-// retryInterval is how soon a request is sent again that exceeded the store's rate.
+// retryInterval is the delay before a request that exceeded the store's rate is retried.
 const retryInterval = 50 * time.Millisecond
 
-// Txn carries out a transaction within the budget and returns its revision. It does
-// not wait for budget: ErrBudgetExhausted is returned at once.
+// Txn executes a transaction within the budget and returns its revision. It does not wait
+// for budget, but returns ErrBudgetExhausted immediately.
 func (c *Client) Txn(ctx context.Context, txn protocol.Txn) (uint64, error) {
 	return c.sendTxn(ctx, c.httpClient, txn, reservation{})
 }
 
-// TxnByDeadline is Txn for a user who waits for the answer: by a deadline a second from
-// now it waits for budget, also ahead of time, and sends again what the store refuses
-// for its rate. Such a refusal comes from a burst of several controllers, and the
-// transaction was not executed.
+// TxnByDeadline is Txn for interactive requests. Until a deadline of one second it waits for
+// budget, which it may use in advance, and retries transactions that the store refuses
+// because of its rate limit. Such a refusal is caused by a burst of several controllers, and
+// the transaction was not executed.
 func (c *Client) TxnByDeadline(ctx context.Context, txn protocol.Txn) (uint64, error) {
 	return c.sendTxnByDeadline(ctx, c.httpClient, txn)
 }
 
-// TxnForWorkerLease is TxnByDeadline for a transaction that workers' leases wait for. It
-// is given up as early as the renewal of a lease. After ErrUnknown it may be sent again at
-// once if its preconditions let it be carried out no more than once.
+// TxnForWorkerLease is TxnByDeadline for a transaction on which workers' leases depend. It
+// has the request timeout of a lease renewal. After ErrUnknown it may be retried immediately
+// if its preconditions ensure that it is executed at most once.
 func (c *Client) TxnForWorkerLease(ctx context.Context, txn protocol.Txn) (uint64, error) {
 	return c.sendTxnByDeadline(ctx, c.workerLeaseClient, txn)
 }
@@ -60,7 +60,7 @@
 	}
 }
 
-// sendTxn takes the transaction's writes from the budget and sends it through a client.
+// sendTxn reserves budget for the transaction's writes and sends it through a client.
 func (c *Client) sendTxn(ctx context.Context, client *transport.Client, txn protocol.Txn, r reservation) (uint64, error) {
 	if txn.Preconditions == nil {
 		txn.Preconditions = []protocol.Precondition{}
@@ -84,8 +84,8 @@
 	return result.Revision, nil
 }
 
-// recordRefusal counts what the store did not accept, and logs what it will not accept
-// however often it is sent: such a transaction is a fault of this program.
+// recordRefusal counts and logs transactions that the store refused because of its rate
+// limit or rejected permanently. The latter are faults of this program.
 func (c *Client) recordRefusal(txn protocol.Txn, err error) {
 	var status *transport.StatusError
 	switch {
