--- a/internal/coordination/disabled_guards_test.go
+++ b/internal/coordination/disabled_guards_test.go
@@ -50,7 +50,7 @@
 	guardStartsInFlight:    {tweak: func(n *Node) { n.heartbeatProxy.acknowledgeAlways = true }},
 	guardDelegatedMachines: {tweak: func(n *Node) { n.heartbeatProxy.ignoreDelegated = true }},
 	guardProxyStops:        {inWorld: disabledGuards{proxyStops: true}},
-	guardAttemptRetention:  disableGuard(dispatch.WithoutMemory),
+	guardAttemptRetention:  disableGuard(dispatch.WithoutDeferredClear),
 	guardStartBeforeStop:   disableGuard(dispatch.WithoutStartBeforeStop),
 }
 
--- a/internal/coordination/job.go
+++ b/internal/coordination/job.go
@@ -143,7 +143,7 @@
 func (j *job) addTaskResources(byTeam map[string]storage.Resources, tasks int) {
 	amount := byTeam[j.spec.Team]
 	amount.Cores += float64(tasks) * j.taskResources[placement.Cores]
-	amount.GPUs += float64(tasks) * j.taskResources[placement.Cards]
+	amount.GPUs += float64(tasks) * j.taskResources[placement.GPUs]
 	byTeam[j.spec.Team] = amount
 }
 
--- a/internal/coordination/migration_to_room.go
+++ b/internal/coordination/migration_to_room.go
@@ -247,7 +247,7 @@
 // isWithinLimit reports whether one more task of a job fits within its team's limit,
 // given the usage of all teams.
 func (n *Node) isWithinLimit(j *job, usage map[string]storage.Resources) bool {
-	more := storage.Resources{Cores: j.taskResources[placement.Cores], GPUs: j.taskResources[placement.Cards]}
+	more := storage.Resources{Cores: j.taskResources[placement.Cores], GPUs: j.taskResources[placement.GPUs]}
 	total, limit := addAmounts(usage[j.spec.Team], more), n.teams[j.spec.Team].limit
 	return isWithin(total.Cores, limit.Cores) && isWithin(total.GPUs, limit.GPUs)
 }
--- a/internal/coordination/model_check_test.go
+++ b/internal/coordination/model_check_test.go
@@ -636,9 +636,9 @@
 	}{
 		"messages lost and late": {searchBounds{sent: 2, attempts: 2, ends: 1, late: 1}, dispatch.WithoutBinding, faultNone},
 		"answer lost":            {searchBounds{sent: 1, emptyMessages: 1, attempts: 2}, dispatch.WithoutResponseOrder, faultNone},
-		"ended early":            {searchBounds{sent: 1, attempts: 2, ends: 1}, dispatch.WithoutMemory, faultNone},
+		"ended early":            {searchBounds{sent: 1, attempts: 2, ends: 1}, dispatch.WithoutDeferredClear, faultNone},
 		"cancelled":              {searchBounds{sent: 1, attempts: 1, cancel: 1, ends: 1}, dispatch.WithoutStartBeforeStop, faultNone},
-		"stopped":                {searchBounds{sent: 2, attempts: 2, stop: 1}, dispatch.WithoutMemory, faultNone},
+		"stopped":                {searchBounds{sent: 2, attempts: 2, stop: 1}, dispatch.WithoutDeferredClear, faultNone},
 		"failover":               {searchBounds{sent: 2, attempts: 2, failovers: 1, ends: 1}, 0, faultSkipsReconciliation},
 		"machine released":       {searchBounds{sent: 1, attempts: 2, releases: 1, ends: 1}, 0, faultReleasesNonEmpty},
 		"proxy answers":          {searchBounds{sent: 1, attempts: 2, cancel: 1, proxyAnswers: 2}, 0, faultProxyDuringStart},
--- a/internal/coordination/placement.go
+++ b/internal/coordination/placement.go
@@ -93,7 +93,7 @@
 		}
 	}
 	limit(quota.limit.Cores, share.Cores, used.Cores+unreported.Cores, j.taskResources[placement.Cores])
-	limit(quota.limit.GPUs, share.GPUs, used.GPUs+unreported.GPUs, j.taskResources[placement.Cards])
+	limit(quota.limit.GPUs, share.GPUs, used.GPUs+unreported.GPUs, j.taskResources[placement.GPUs])
 	return max(tasks, 0)
 }
 
@@ -192,7 +192,7 @@
 		smallest := s.smallestTask[j.spec.Team]
 		s.smallestTask[j.spec.Team] = storage.Resources{
 			Cores: smaller(smallest.Cores, j.taskResources[placement.Cores]),
-			GPUs:  smaller(smallest.GPUs, j.taskResources[placement.Cards]),
+			GPUs:  smaller(smallest.GPUs, j.taskResources[placement.GPUs]),
 		}
 	}
 	for _, j := range s.queue {
--- a/internal/coordination/preemption.go
+++ b/internal/coordination/preemption.go
@@ -218,5 +218,5 @@
 // without one of the job's tasks.
 func (p *planInput) isBeyondGuarantee(j *job) bool {
 	usage, guarantee := p.usage[j.spec.Team], p.teams[j.spec.Team].guarantee
-	return usage.Cores-j.taskResources[placement.Cores] >= guarantee.Cores && usage.GPUs-j.taskResources[placement.Cards] >= guarantee.GPUs
+	return usage.Cores-j.taskResources[placement.Cores] >= guarantee.Cores && usage.GPUs-j.taskResources[placement.GPUs] >= guarantee.GPUs
 }
--- a/internal/coordination/shard.go
+++ b/internal/coordination/shard.go
@@ -161,7 +161,7 @@
 			continue
 		}
 		total.Cores += max(0, m.capacity[placement.Cores]-m.used[placement.Cores])
-		total.GPUs += max(0, m.capacity[placement.Cards]-m.used[placement.Cards])
+		total.GPUs += max(0, m.capacity[placement.GPUs]-m.used[placement.GPUs])
 	}
 	return total
 }
--- a/internal/coordination/shard_room.go
+++ b/internal/coordination/shard_room.go
@@ -39,7 +39,7 @@
 // hasMoreCapacity compares accelerators first, since fewer machines have them.
 func hasMoreCapacity(a, b placement.Resources) bool {
 	return cmp.Or(
-		cmp.Compare(a[placement.Cards], b[placement.Cards]),
+		cmp.Compare(a[placement.GPUs], b[placement.GPUs]),
 		cmp.Compare(a[placement.Cores], b[placement.Cores]),
 		cmp.Compare(a[placement.Memory], b[placement.Memory]),
 	) > 0
--- a/internal/coordination/task_attempt.go
+++ b/internal/coordination/task_attempt.go
@@ -181,7 +181,7 @@
 func (s *shard) releaseQuota(j *job) {
 	usage := s.used[j.spec.Team]
 	usage.Cores = subtractAmount(usage.Cores, j.taskResources[placement.Cores])
-	usage.GPUs = subtractAmount(usage.GPUs, j.taskResources[placement.Cards])
+	usage.GPUs = subtractAmount(usage.GPUs, j.taskResources[placement.GPUs])
 	s.used[j.spec.Team] = usage
 }
 
--- a/internal/quota/share.go
+++ b/internal/quota/share.go
@@ -2,19 +2,19 @@
 
 import "math"
 
-// share is a demand, and what it is assigned while a quota is divided.
+// share is a demand and the amount assigned to it while a quota is divided.
 type share struct {
 	used, requested, taskSize vector // as in Demand
 	assigned                  vector
 }
 
-// taken returns what the shard takes of a resource with its share: what it uses stays
-// taken until its tasks end, even if its share is less.
+// taken returns how much of a resource the shard occupies: the amount in use is occupied
+// until its tasks end, even if the share is smaller.
 func (s *share) taken(resource int) float64 { return max(s.used[resource], s.assigned[resource]) }
 
 // assignProportional assigns a share in proportion to the requests, rounded down to
 // whole tasks above what is used.
-func (s *share) assignProportional(scarce [resources]bool, limit, requested vector) {
+func (s *share) assignProportional(scarce [resourceCount]bool, limit, requested vector) {
 	wholeTasks := math.Inf(1)
 	for r := range s.assigned {
 		s.assigned[r] = s.requested[r]
@@ -36,9 +36,9 @@
 	}
 }
 
-// servedFraction returns the part of its request that a share has, in the scarce
-// resource in which that is the smallest.
-func (s *share) servedFraction(scarce [resources]bool) float64 {
+// servedFraction returns the fraction of the request that is served, the minimum over all
+// scarce resources.
+func (s *share) servedFraction(scarce [resourceCount]bool) float64 {
 	fraction := 1.0
 	for r := range s.requested {
 		if scarce[r] && s.requested[r] > 0 {
@@ -48,9 +48,9 @@
 	return fraction
 }
 
-// canAddTask reports whether a share requests another task, and enough of every scarce
+// canAddTask reports whether the shard requests another task and enough of every scarce
 // resource is left for it.
-func (s *share) canAddTask(scarce [resources]bool, left vector) bool {
+func (s *share) canAddTask(scarce [resourceCount]bool, left vector) bool {
 	needsScarce := false
 	for r := range left {
 		if !scarce[r] || s.taskSize[r] == 0 {
