--- a/internal/coordination/cpu_meter.go
+++ b/internal/coordination/cpu_meter.go
@@ -13,9 +13,9 @@
 }
 
 const (
-	// meterInterval is the least time between two readings: over a shorter one
+	// minMeterInterval is the least time between two readings: over a shorter one
 	// a single plan would look like a load.
-	meterInterval = 2 * time.Second
+	minMeterInterval = 2 * time.Second
 	// maxUtilization is the part of its processor share above which a controller
 	// gets no new jobs while another can take them: its answers would begin to
 	// be late.
@@ -29,7 +29,7 @@
 		m.readAt, m.usedAtRead = now, used
 		return
 	}
-	if elapsed := now.Sub(m.readAt); elapsed >= meterInterval {
+	if elapsed := now.Sub(m.readAt); elapsed >= minMeterInterval {
 		latest := (used - m.usedAtRead).Seconds() / elapsed.Seconds() / share
 		m.utilization += (latest - m.utilization) / 2
 		m.readAt, m.usedAtRead = now, used
--- a/internal/coordination/delegation_acks.go
+++ b/internal/coordination/delegation_acks.go
@@ -15,9 +15,9 @@
 // shards that a heartbeat proxy may answer. The proxy's side is in
 // delegations.go.
 
-// refreshDelegated keeps delegated machines from being expired: the proxy may
+// refreshDelegatedMachines keeps delegated machines from being expired: the proxy may
 // renew their workers' leases.
-func (n *Node) refreshDelegated(s *shard, now time.Time) {
+func (n *Node) refreshDelegatedMachines(s *shard, now time.Time) {
 	if n.heartbeatProxy.ignoreDelegated {
 		return
 	}
@@ -74,7 +74,7 @@
 		DelegationRevision: delegation.Revision,
 		Session:            n.session.id,
 		FencingToken:       s.fencingToken,
-		Machines:           n.acknowledgeable(s, delegation.Value.Machines),
+		Machines:           n.acknowledgeableMachines(s, delegation.Value.Machines),
 	}
 	previous := n.records.DelegationAcks[id]
 	isSame := isSameDelegation(previous.Value, next)
@@ -114,10 +114,10 @@
 	return a.DelegationRevision == b.DelegationRevision && a.Session == b.Session && a.FencingToken == b.FencingToken
 }
 
-// acknowledgeable lists the machines to which no directly sent start is in
+// acknowledgeableMachines lists the machines to which no directly sent start is in
 // flight: such a start would stay valid for as long as the proxy renews the
 // worker's lease.
-func (n *Node) acknowledgeable(s *shard, names []string) []string {
+func (n *Node) acknowledgeableMachines(s *shard, names []string) []string {
 	var acknowledgeable []string
 	for _, name := range names {
 		m := s.machines[name]
--- a/internal/coordination/delegation_delay_order_test.go
+++ b/internal/coordination/delegation_delay_order_test.go
@@ -19,36 +19,36 @@
 	// maxProxyDelay is the target for a machine that a cut between zones separates from
 	// its holder: from the start of the cut to its first answer by a heartbeat proxy.
 	maxProxyDelay = 6 * sec
-	// lateBy is after how long an unanswered write is carried out.
-	lateBy = 12 * sec
-	// heldBefore is how long before a cut other writes are refused, so that one is
+	// lateWriteDelay is after how long an unanswered write is carried out.
+	lateWriteDelay = 12 * sec
+	// rejectBeforePartition is how long before a cut other writes are refused, so that one is
 	// pending in the cut.
-	heldBefore = 10 * sec
-	// dueAfter is when that one is let go: delegations are due 2 s after the start of
+	rejectBeforePartition = 10 * sec
+	// competingWriteDelay is when that one is let go: delegations are due 2 s after the start of
 	// the cut, and acknowledgements with them.
-	dueAfter = 1200 * time.Millisecond
-	// lastCutEnds is when no cut of any case lasts any more.
-	lastCutEnds = 120 * sec
+	competingWriteDelay = 1200 * time.Millisecond
+	// lastPartitionEnd is when no cut of any case lasts any more.
+	lastPartitionEnd = 120 * sec
 )
 
-// cutMachine is a machine with a task that a cut separates from its holder, and when
+// partitionedMachine is a machine with a task that a cut separates from its holder, and when
 // each step towards its first answer was made, since the cut.
-type cutMachine struct {
-	worker     *simWorker
-	shard      int
-	holder     *simNode
-	session    uint64
-	steps      map[string]time.Duration
-	answerable bool // some proxy may answer it
-	detours    int  // ways over the cut-off holder while a proxy might answer
+type partitionedMachine struct {
+	worker          *simWorker
+	shard           int
+	holder          *simNode
+	session         uint64
+	steps           map[string]time.Duration
+	answerable      bool // some proxy may answer it
+	holderRedirects int  // ways over the cut-off holder while a proxy might answer
 }
 
 const (
-	delegationSent = "delegation sent"
-	shownAtHolder  = "shown at the holder"
-	ackSent        = "acknowledgement sent"
-	shownAtProxy   = "shown at the proxy"
-	firstAnswer    = "answered"
+	delegationSent  = "delegation sent"
+	visibleToHolder = "shown at the holder"
+	ackSent         = "acknowledgement sent"
+	visibleToProxy  = "shown at the proxy"
+	firstAnswer     = "answered"
 )
 
 // delayCase forces where time goes between a cut and the first answer of a proxy.
@@ -56,8 +56,8 @@
 	name       string
 	cuts       []fault           // none: one from 60 s to 120 s
 	unanswered map[writeKind]int // how many first attempts of each key get no answer
-	// landsAfter is when one of them has to be carried out at least, since the last cut.
-	landsAfter time.Duration
+	// executedAfter is when one of them has to be carried out at least, since the last cut.
+	executedAfter time.Duration
 	// others are kinds of other writes of which the first gets no answer, from the second
 	// on before the delegation is due, of each proxy, or with beforeAck the
 	// acknowledgement, of the holder.
@@ -67,8 +67,8 @@
 	inCI      bool   // it is played without -all too
 }
 
-// cutAt returns a cut between the zones.
-func cutAt(at, duration time.Duration) fault {
+// partitionAt returns a cut between the zones.
+func partitionAt(at, duration time.Duration) fault {
 	return fault{at: at, kind: zonesSeparated, duration: duration}
 }
 
@@ -77,16 +77,16 @@
 	{name: "a first delegation", unanswered: map[writeKind]int{delegationWrite: 1}},
 	{name: "b first acknowledgement", unanswered: map[writeKind]int{ackWrite: 1}},
 	{name: "c first delegation and acknowledgement", inCI: true, unanswered: map[writeKind]int{delegationWrite: 1, ackWrite: 1}},
-	{name: "e late delegation after the repeated one", unanswered: map[writeKind]int{delegationWrite: 1}, landsAfter: lateBy},
-	{name: "e late delegation after the cut", inCI: true, unanswered: map[writeKind]int{delegationWrite: 1}, cuts: []fault{cutAt(60*sec, 8*sec)}, landsAfter: 9 * sec},
-	{name: "e late acknowledgement after the cut", unanswered: map[writeKind]int{ackWrite: 1}, cuts: []fault{cutAt(60*sec, 8*sec)}, landsAfter: 9 * sec},
-	{name: "f late removal", inCI: true, unanswered: map[writeKind]int{removalWrite: 1}, cuts: []fault{cutAt(60*sec, 10*sec), cutAt(71*sec, 49*sec)}, landsAfter: 2 * sec},
+	{name: "e late delegation after the repeated one", unanswered: map[writeKind]int{delegationWrite: 1}, executedAfter: lateWriteDelay},
+	{name: "e late delegation after the cut", inCI: true, unanswered: map[writeKind]int{delegationWrite: 1}, cuts: []fault{partitionAt(60*sec, 8*sec)}, executedAfter: 9 * sec},
+	{name: "e late acknowledgement after the cut", unanswered: map[writeKind]int{ackWrite: 1}, cuts: []fault{partitionAt(60*sec, 8*sec)}, executedAfter: 9 * sec},
+	{name: "f late removal", inCI: true, unanswered: map[writeKind]int{removalWrite: 1}, cuts: []fault{partitionAt(60*sec, 10*sec), partitionAt(71*sec, 49*sec)}, executedAfter: 2 * sec},
 	{name: "g another proxy may answer", inCI: true, mute: "n2"},
 	{name: "h first two of both", inCI: true, unanswered: map[writeKind]int{delegationWrite: 2, ackWrite: 2}},
-}, otherWriteCases()...)
+}, competingWriteCases()...)
 
-// otherWriteCases are the cases in which another write is in the way.
-func otherWriteCases() (cases []delayCase) {
+// competingWriteCases are the cases in which another write is in the way.
+func competingWriteCases() (cases []delayCase) {
 	kinds := []writeKind{jobEndWrite, progressWrite, grantWrite, migrationWrite, staleWrite}
 	for _, kind := range append(kinds, schemaWrite) {
 		cases = append(cases, delayCase{name: fmt.Sprintf("d %s before the delegation", kind), others: []writeKind{kind}},
@@ -97,14 +97,14 @@
 	return cases
 }
 
-// lastCut returns the cut whose delays are measured.
-func (c *delayCase) lastCut() fault { return c.cuts[len(c.cuts)-1] }
+// lastPartition returns the cut whose delays are measured.
+func (c *delayCase) lastPartition() fault { return c.cuts[len(c.cuts)-1] }
 
 // play plays the case with a seed: long jobs run in both zones, and short ones cause
 // the other writes. Nothing is lost by chance.
 func (c delayCase) play(t *testing.T, seed uint64) *delayOrder {
 	if len(c.cuts) == 0 {
-		c.cuts = []fault{cutAt(60*sec, 60*sec)}
+		c.cuts = []fault{partitionAt(60*sec, 60*sec)}
 	}
 	o := &delayOrder{delayCase: &c, attempts: map[string]int{}, sent: map[string]bool{}, forced: map[writeKind]int{}, inTheWay: map[string]int{}}
 	synctest.Test(t, func(t *testing.T) {
@@ -136,7 +136,7 @@
 		}
 		o.w.onStart = func() {
 			o.w.spawn(o.run)
-			o.w.spawn(o.findLeftOver)
+			o.w.spawn(o.recordLeftoverRecords)
 		}
 		o.w.play(longJobs+shortJobs, 150*sec, 700*sec)
 	})
@@ -154,23 +154,23 @@
 	}
 }
 
-// isProven reports whether the forced order has taken place.
-func (o *delayOrder) isProven() bool {
+// isOrderReached reports whether the forced order has taken place.
+func (o *delayOrder) isOrderReached() bool {
 	for kind, count := range o.unanswered {
 		if o.forced[kind] < count {
 			return false
 		}
 	}
-	hasLanded := slices.ContainsFunc(o.landings, func(at time.Duration) bool { return at > o.landsAfter })
+	hasLanded := slices.ContainsFunc(o.landings, func(at time.Duration) bool { return at > o.executedAfter })
 	mostInTheWay := slices.Max(append(slices.Collect(maps.Values(o.inTheWay)), 0))
 	return len(o.machines) > 0 && (len(o.unanswered) == 0 || hasLanded) &&
 		mostInTheWay >= min(len(o.others), 2) && (o.mute == "" || o.asked > 0)
 }
 
-// findLeftOver notes, after all cuts and at the end, which delegations and
+// recordLeftoverRecords notes, after all cuts and at the end, which delegations and
 // acknowledgements stand.
-func (o *delayOrder) findLeftOver() {
-	for _, at := range []time.Duration{lastCutEnds + 2*lateBy, 800 * sec} {
+func (o *delayOrder) recordLeftoverRecords() {
+	for _, at := range []time.Duration{lastPartitionEnd + 2*lateWriteDelay, 800 * sec} {
 		time.Sleep(at - time.Since(o.w.startedAt))
 		for _, key := range o.w.store.Keys() {
 			_, isDelegation := storage.ParseDelegationKey(key)
@@ -186,7 +186,7 @@
 func (o *delayOrder) checkDelays(t *testing.T, seed uint64) {
 	for _, m := range o.machines {
 		split := fmt.Sprintf("seed %d: %s in zone %s, shard %d of %s:", seed, m.worker.id, m.worker.rental.Zone, m.shard, m.holder.name)
-		for _, step := range []string{delegationSent, shownAtHolder, ackSent, shownAtProxy, firstAnswer} {
+		for _, step := range []string{delegationSent, visibleToHolder, ackSent, visibleToProxy, firstAnswer} {
 			if at, found := m.steps[step]; found {
 				split += fmt.Sprintf(" %s %.2f", step, at.Seconds())
 			} else {
@@ -197,8 +197,8 @@
 		if at, found := m.steps[firstAnswer]; !found || at > maxProxyDelay {
 			t.Errorf("seed %d: %s not answered by a proxy within %v of the cut", seed, m.worker.id, maxProxyDelay)
 		}
-		if m.detours > 0 {
-			t.Errorf("seed %d: %s went to its cut-off holder %d times though another proxy might answer", seed, m.worker.id, m.detours)
+		if m.holderRedirects > 0 {
+			t.Errorf("seed %d: %s went to its cut-off holder %d times though another proxy might answer", seed, m.worker.id, m.holderRedirects)
 		}
 	}
 	t.Logf("seed %d, times since the cut:\n%s", seed, strings.Join(o.log, "\n"))
@@ -230,10 +230,10 @@
 				if len(o.leftOver) > 0 {
 					t.Errorf("seed %d: nobody wants them, but %s", seed, strings.Join(o.leftOver, ", "))
 				}
-				if o.isProven() {
+				if o.isOrderReached() {
 					proven++
 				}
-				t.Logf("seed %d: brought about: %v", seed, o.isProven())
+				t.Logf("seed %d: brought about: %v", seed, o.isOrderReached())
 				o.checkDelays(t, seed)
 			}
 			if proven == 0 {
--- a/internal/coordination/delegation_fences_test.go
+++ b/internal/coordination/delegation_fences_test.go
@@ -16,9 +16,9 @@
 // testDelegation is a delegation of the one machine of oneTask.
 var testDelegation = storage.DelegationID{Shard: 0, Controller: "n1"}
 
-// fencedHolder returns a holder whose direct start to a machine was sent and got no
+// newFencedHolder returns a holder whose direct start to a machine was sent and got no
 // answer, with the delegation of that machine and a schema version in its records.
-func fencedHolder(t *testing.T, schema int) (*Node, *shard, *machine) {
+func newFencedHolder(t *testing.T, schema int) (*Node, *shard, *machine) {
 	t.Helper()
 	now := time.Now()
 	w := newWorld(1, nil)
@@ -63,8 +63,8 @@
 // A machine to which a start is unanswered was left to its holder, which can't reach it
 // (issue 46): it is acknowledged with a newer token, which the holder uses once its
 // records show it. The start is absent once a heartbeat shows that token without it.
-func TestUnansweredStartIsFencedOff(t *testing.T) {
-	n, s, m := fencedHolder(t, storage.SchemaMachineFences)
+func TestUnansweredStartIsFenced(t *testing.T) {
+	n, s, m := newFencedHolder(t, storage.SchemaMachineFences)
 	txns := n.acknowledgementTxns()
 	ack := acknowledgementOf(txns)
 	if !slices.Equal(ack.Machines, []string{"a"}) || len(ack.Fences) != 1 || ack.Fences[0].FencingToken != 7 || len(ack.Fences[0].Starts) != 1 {
@@ -94,8 +94,8 @@
 }
 
 // Another proxy's delegation of the same machine is acknowledged with the same fence.
-func TestFenceServesAllProxies(t *testing.T) {
-	n, _, m := fencedHolder(t, storage.SchemaMachineFences)
+func TestFenceIsSharedByProxies(t *testing.T) {
+	n, _, m := newFencedHolder(t, storage.SchemaMachineFences)
 	m.fenceToken = 7
 	txns := n.acknowledgementTxns()
 	if ack := acknowledgementOf(txns); len(ack.Fences) != 1 || ack.Fences[0].FencingToken != 7 || len(ack.Fences[0].Starts) != 1 || len(txns[0].Writes) != 1 {
@@ -106,7 +106,7 @@
 // Before every controller has left its mark nothing new is written: the machine is left
 // out, as before.
 func TestNoFenceBeforeSchemaVersion(t *testing.T) {
-	n, _, _ := fencedHolder(t, storage.SchemaMachineFences-1)
+	n, _, _ := newFencedHolder(t, storage.SchemaMachineFences-1)
 	txns := n.acknowledgementTxns()
 	if ack := acknowledgementOf(txns); len(txns) != 1 || len(txns[0].Writes) != 1 || len(ack.Machines) != 0 || len(ack.Fences) != 0 {
 		t.Errorf("%+v", txns)
@@ -115,7 +115,7 @@
 
 // A fence that does not fit into the record leaves its machine to the holder.
 func TestTooLargeFenceIsLeftOut(t *testing.T) {
-	n, s, m := fencedHolder(t, storage.SchemaMachineFences)
+	n, s, m := newFencedHolder(t, storage.SchemaMachineFences)
 	ack := storage.DelegationAck{}
 	if newFenceBuilder(s, &ack, delegationOverhead+fenceOverhead).addNew([]string{m.lease.Machine}, 7) || len(ack.Machines) != 0 {
 		t.Errorf("%+v", ack)
@@ -130,7 +130,7 @@
 // can't have been minted for it leaves the machine unacknowledged, and is logged once.
 func TestInvalidFenceIsNotAcknowledged(t *testing.T) {
 	for token, valid := range map[uint64]bool{1: false, 2: true, 6: true, 7: false} {
-		n, _, _ := fencedHolder(t, storage.SchemaMachineFences)
+		n, _, _ := newFencedHolder(t, storage.SchemaMachineFences)
 		delegated := map[string]heartbeatproxy.Record{"a": {Revision: 12}}
 		ack := storage.DelegationAck{FencingToken: 1, Machines: []string{"a", "unknown"},
 			Fences: []storage.MachineFence{{Machine: "a", FencingToken: token, Starts: []storage.FencedStart{{Task: "wk-1/0", Attempt: 3}}}, {Machine: "unknown", FencingToken: 6}}}
@@ -149,12 +149,12 @@
 // A start may reach the worker after the heartbeat that a proxy answers: the answer
 // stops it if its job has ended, and not if the job is live or its record unreadable.
 func TestProxyStopsFencedStartsOfEndedJobs(t *testing.T) {
-	n, _, _ := fencedHolder(t, storage.SchemaMachineFences)
+	n, _, _ := newFencedHolder(t, storage.SchemaMachineFences)
 	n.records.UnreadableJobs["wk-3"] = true
 	report := &protocol.Heartbeat{Machine: "a", Tasks: []protocol.TaskStatus{{Task: "wk-1/0", Attempt: 2, State: protocol.Exited}, {Task: "wk-2/0", Attempt: 4, State: protocol.Running}}}
 	starts := []heartbeatproxy.Attempt{{Task: "wk-1/0", Number: 3}, {Task: "wk-2/0", Number: 4}, {Task: "wk-3/0", Number: 5}}
 	var stopped []string
-	for _, o := range n.stopsOfEndedJobs(report, starts) {
+	for _, o := range n.stopCommandsForEndedJobs(report, starts) {
 		if o.Verb == protocol.VerbStop && *o.GracePeriodSeconds == 0 {
 			stopped = append(stopped, o.Task)
 		}
@@ -169,7 +169,7 @@
 // within the store's limits.
 func TestManyMachinesAreFencedAtOnce(t *testing.T) {
 	const machines, unanswered = 1000, 100
-	n, s, _ := fencedHolder(t, storage.SchemaMachineFences)
+	n, s, _ := newFencedHolder(t, storage.SchemaMachineFences)
 	now := time.Now()
 	delete(n.records.Delegations, testDelegation)
 	var names []string
@@ -190,7 +190,7 @@
 	}
 	revision, records := uint64(20), 0
 	for rest := names; len(rest) > 0; records++ {
-		count := countFitting(rest, n.storeLimits().MaxValueBytes()/delegationParts)
+		count := countFitting(rest, n.storeLimits().MaxValueBytes()/delegationSizeDivisor)
 		id := storage.DelegationID{Shard: 0, Controller: "n1", Record: records}
 		put(t, n, storage.DelegationKey(id), storage.Delegation{Session: 5, FencingToken: 1, Machines: rest[:count]}, revision)
 		rest, revision = rest[count:], revision+1
--- a/internal/coordination/delegation_writes.go
+++ b/internal/coordination/delegation_writes.go
@@ -40,9 +40,9 @@
 	revision      uint64 // at which one was carried out; 0: none is known to be
 }
 
-// nextAt returns when the transaction may be sent again. hasBudget tells whether there is
+// nextSendTime returns when the transaction may be sent again. hasBudget tells whether there is
 // room for it beside other writes.
-func (s *sentTxn) nextAt(hasBudget bool) time.Time {
+func (s *sentTxn) nextSendTime(hasBudget bool) time.Time {
 	if hasBudget && s.repeats < maxQuickRepeats && s.revision == 0 {
 		return s.lastSentAt.Add(delegationRepeatInterval)
 	}
@@ -60,7 +60,7 @@
 		s[firstKey(txn)] = sent
 		return sent
 	}
-	if now.Before(sent.nextAt(budget >= len(txn.Writes))) {
+	if now.Before(sent.nextSendTime(budget >= len(txn.Writes))) {
 		return nil
 	}
 	sent.lastSentAt = now
@@ -68,8 +68,8 @@
 	return sent
 }
 
-// forgetOld forgets the transactions that have not been sent for a while.
-func (s sentTxns) forgetOld(now time.Time) {
+// evictOld forgets the transactions that have not been sent for a while.
+func (s sentTxns) evictOld(now time.Time) {
 	maps.DeleteFunc(s, func(_ string, sent *sentTxn) bool {
 		return now.Sub(sent.lastSentAt) > 2*delegationRetryInterval
 	})
@@ -96,7 +96,7 @@
 		}
 		return took
 	}
-	wakeable(n.wake.delegations, tick)(ctx)
+	wakeableLoop(n.wake.delegations, tick)(ctx)
 }
 
 // dueDelegationTxns returns the transactions of both sides that are to be sent now, and how
@@ -110,7 +110,7 @@
 		return nil, 0
 	}
 	sentTxns := n.heartbeatProxy.sentTxns
-	sentTxns.forgetOld(now)
+	sentTxns.evictOld(now)
 	budget := n.store.DeferrableWrites()
 	for _, txn := range append(n.acknowledgementTxns(), n.delegationTxns(now)...) {
 		if sent := sentTxns.begin(txn, budget, now); sent != nil {
--- a/internal/coordination/delegation_writes_test.go
+++ b/internal/coordination/delegation_writes_test.go
@@ -10,9 +10,9 @@
 	"reedtrack/internal/storage"
 )
 
-// proxyNode returns a controller in zone b that a machine of shard 0 may be delegated to;
+// newProxyNode returns a controller in zone b that a machine of shard 0 may be delegated to;
 // the shard's holder is out of reach.
-func proxyNode(t testing.TB) *Node {
+func newProxyNode(t testing.TB) *Node {
 	t.Helper()
 	settings := *newWorld(1, nil).settings
 	settings.HostName, settings.Location = "n1", "b"
@@ -31,7 +31,7 @@
 // Guards against a delegation that stands for good, with its machines never taken for lost:
 // a write without an answer was carried out after the cut was over and forgotten.
 func TestLateDelegationIsRemoved(t *testing.T) {
-	n := proxyNode(t)
+	n := newProxyNode(t)
 	n.heartbeatProxy.lastReached["n0"] = time.Now()
 	put(t, n, storage.DelegationKey(testDelegation), storage.Delegation{Session: 5, FencingToken: 1, Machines: []string{"a"}}, 20)
 	n.updateDelegations(time.Now())
@@ -44,8 +44,8 @@
 
 // Guards against a proxy that answers in a new session from what the old one had: the
 // holder may have taken the machine for lost between the two.
-func TestNewSessionAnswersForNobody(t *testing.T) {
-	n := proxyNode(t)
+func TestNewSessionDropsDelegations(t *testing.T) {
+	n := newProxyNode(t)
 	n.refresh()
 	delegate(t, n, testDelegation, true)
 	n.refresh()
@@ -63,8 +63,8 @@
 
 // A copy of an acknowledgement that comes late must fail: it names the revisions of the
 // shard, of the delegation and of the acknowledgement.
-func TestAcknowledgementNamesWhatItDependsOn(t *testing.T) {
-	n, s, _ := fencedHolder(t, storage.SchemaMachineFences)
+func TestAcknowledgementPreconditions(t *testing.T) {
+	n, s, _ := newFencedHolder(t, storage.SchemaMachineFences)
 	s.revision = 8
 	for _, precondition := range []protocol.Precondition{
 		{Key: storage.ShardKey(0), Revision: 8},
--- a/internal/coordination/delegations.go
+++ b/internal/coordination/delegations.go
@@ -24,9 +24,9 @@
 	// delegationOverhead bounds a delegation record without machine names, in
 	// bytes.
 	delegationOverhead = 128
-	// delegationParts leaves room in the acknowledgement of a record: it lists the
+	// delegationSizeDivisor leaves room in the acknowledgement of a record: it lists the
 	// same machines, and beside them the fences.
-	delegationParts = 2
+	delegationSizeDivisor = 2
 )
 
 // updateDelegations opens a delegation for each shard whose holder this
@@ -55,14 +55,14 @@
 			signal(n.wake.delegations)
 		}
 		n.observeDelegation(i, now)
-		n.logAnswering(i, delegation)
+		n.logProxyChange(i, delegation)
 	}
 }
 
 // observeDelegation tells a delegation what the records show, which it returns. Heartbeats
 // that wait are woken if this controller may answer for more machines.
 func (n *Node) observeDelegation(shardIndex int, now time.Time) map[string]heartbeatproxy.Record {
-	delegated := n.ownDelegated(shardIndex)
+	delegated := n.ownDelegatedMachines(shardIndex)
 	delays := n.heartbeatProxy.delegations[shardIndex].ObserveRecords(delegated, now)
 	if len(delays) == 0 {
 		return delegated
@@ -89,9 +89,9 @@
 	return n.shards[shardIndex] == nil && up && key.Value.Session == holder.Session && n.peers[holder.Name] != nil
 }
 
-// logAnswering logs when this controller begins and ceases to answer for a
+// logProxyChange logs when this controller begins and ceases to answer for a
 // shard's holder.
-func (n *Node) logAnswering(shardIndex int, delegation *heartbeatproxy.Delegation) {
+func (n *Node) logProxyChange(shardIndex int, delegation *heartbeatproxy.Delegation) {
 	count := delegation.CountAnswerable()
 	answering := count > 0
 	if answering == n.heartbeatProxy.loggedAnswering[shardIndex] {
@@ -113,9 +113,9 @@
 	return names
 }
 
-// ownDelegated returns the machines of a shard that are delegated to this
+// ownDelegatedMachines returns the machines of a shard that are delegated to this
 // session under the shard's present fencing token.
-func (n *Node) ownDelegated(shardIndex int) map[string]heartbeatproxy.Record {
+func (n *Node) ownDelegatedMachines(shardIndex int) map[string]heartbeatproxy.Record {
 	delegated := map[string]heartbeatproxy.Record{}
 	shardLease := n.records.Shards[shardIndex].Value
 	for id, record := range n.records.Delegations {
@@ -129,7 +129,7 @@
 			delegated[m] = heartbeatproxy.Record{Revision: record.Revision}
 		}
 		ack := n.records.DelegationAcks[id].Value
-		if !acknowledges(ack, record.Revision, shardLease) {
+		if !isCurrentAcknowledgement(ack, record.Revision, shardLease) {
 			continue
 		}
 		n.addAcknowledged(delegated, ack)
@@ -137,9 +137,9 @@
 	return delegated
 }
 
-// acknowledges reports whether an acknowledgement is the present holder's, and
+// isCurrentAcknowledgement reports whether an acknowledgement is the present holder's, and
 // of the delegation as of the given revision.
-func acknowledges(ack storage.DelegationAck, delegationRevision uint64, shardLease storage.ShardLease) bool {
+func isCurrentAcknowledgement(ack storage.DelegationAck, delegationRevision uint64, shardLease storage.ShardLease) bool {
 	return ack.DelegationRevision == delegationRevision &&
 		ack.FencingToken == shardLease.FencingToken &&
 		ack.Session == shardLease.Holder.Session
@@ -152,7 +152,7 @@
 	proxy := &n.heartbeatProxy
 	for _, shardIndex := range slices.Sorted(maps.Keys(proxy.delegations)) {
 		delegation, delegated := proxy.delegations[shardIndex], n.observeDelegation(shardIndex, now)
-		desired := n.stillGranted(shardIndex, delegation.Desired(now))
+		desired := n.filterGranted(shardIndex, delegation.Desired(now))
 		records := n.ownDelegationRecords(shardIndex)
 		if !delegation.NeedsWrite(desired, delegated) && (len(desired) > 0 || len(records) == 0) {
 			if len(records) == 0 && delegation.IsEmpty() {
@@ -168,8 +168,8 @@
 	return txns
 }
 
-// stillGranted leaves out machines that no longer belong to the shard.
-func (n *Node) stillGranted(shardIndex int, names []string) []string {
+// filterGranted leaves out machines that no longer belong to the shard.
+func (n *Node) filterGranted(shardIndex int, names []string) []string {
 	return slices.DeleteFunc(names, func(m string) bool {
 		shard, granted := n.records.ShardOfMachine[m]
 		return !granted || shard != shardIndex
@@ -205,7 +205,7 @@
 	}
 	record := 0
 	for ; len(names) > 0 && len(txn.Writes) < limits.TxnOps; record++ {
-		count := countFitting(names, limits.MaxValueBytes()/delegationParts)
+		count := countFitting(names, limits.MaxValueBytes()/delegationSizeDivisor)
 		txn.Writes = append(txn.Writes, protocol.Write{
 			Put:     requireUnchanged(record),
 			Value:   storage.Delegation{Session: n.session.id, FencingToken: shard.Value.FencingToken, Machines: names[:count]},
--- a/internal/coordination/dependencies.go
+++ b/internal/coordination/dependencies.go
@@ -75,7 +75,7 @@
 	state.Pending, state.UnblockedMS = false, jr.Record.AcceptedAtMS
 	unknown := false
 	for _, id := range jr.Record.Spec.DependsOn {
-		end, ended := n.storedEnd(id)
+		end, ended := n.findEndedJob(id)
 		switch {
 		case ended && end.Status == protocol.Cancelled:
 			state.Cancelled = true
--- a/internal/coordination/dependency_requests.go
+++ b/internal/coordination/dependency_requests.go
@@ -56,7 +56,7 @@
 			continue
 		}
 		seen[id] = true
-		if end, ended := n.storedEnd(id); ended {
+		if end, ended := n.findEndedJob(id); ended {
 			if end.Status == protocol.Cancelled {
 				return true
 			}
--- a/internal/coordination/direct_dispatch_test.go
+++ b/internal/coordination/direct_dispatch_test.go
@@ -12,7 +12,7 @@
 // Guards against direct starts on a machine whose worker has got no answer yet: its lease
 // runs from its start, and a direct message does not renew it.
 func TestNoDirectStartBeforeFirstAnswer(t *testing.T) {
-	_, s, input, _ := detectionShard(1)
+	_, s, input, _ := newDetectionShard(1)
 	now := time.Now()
 	m := s.machines["m0"]
 	s.receiveHeartbeat(m, &protocol.Heartbeat{Machine: "m0", Address: "m0:1", Session: 1, Sequence: 1}, now)
--- a/internal/coordination/failover_delay_test.go
+++ b/internal/coordination/failover_delay_test.go
@@ -14,11 +14,11 @@
 
 // failoverWrites counts and decides the writes by which a shard comes to its next holder.
 type failoverWrites struct {
-	unanswered int // of the first copies of each sender and kind
-	lateBy     time.Duration
-	mu         sync.Mutex
-	copies     map[string]int
-	carriedOut map[string]int // by key and the revision that they depend on
+	unanswered     int // of the first copies of each sender and kind
+	lateWriteDelay time.Duration
+	mu             sync.Mutex
+	copies         map[string]int
+	carriedOut     map[string]int // by key and the revision that they depend on
 }
 
 // kindOfFailoverWrite returns the key that decides a failover that a transaction writes;
@@ -43,7 +43,7 @@
 	f.copies[sender+key]++
 	fate := forcedFate{done: func(status int) { f.recordDone(fmt.Sprint(key, txn.Preconditions), status) }}
 	if f.copies[sender+key] <= f.unanswered {
-		fate.late = f.lateBy
+		fate.late = f.lateWriteDelay
 	}
 	return fate
 }
@@ -91,7 +91,7 @@
 					stop()
 					t.Fatalf("leader %d, %d shards without a holder", leader, w.unheldShards())
 				}
-				writes := &failoverWrites{unanswered: unanswered, lateBy: lateBy, copies: map[string]int{}, carriedOut: map[string]int{}}
+				writes := &failoverWrites{unanswered: unanswered, lateWriteDelay: lateWriteDelay, copies: map[string]int{}, carriedOut: map[string]int{}}
 				for _, n := range w.nodes {
 					n.wire.mu.Lock()
 					n.wire.decideFate = func(txn protocol.Txn) forcedFate { return writes.decide(n.name, txn) }
@@ -106,7 +106,7 @@
 				if w.unheldShards() > 0 {
 					t.Errorf("%d shards without a holder %v after theirs has gone", w.unheldShards(), time.Since(gone))
 				}
-				time.Sleep(2 * lateBy)
+				time.Sleep(2 * lateWriteDelay)
 				stop()
 				for write, count := range writes.carriedOut {
 					if count > 1 {
--- a/internal/coordination/failure_detection_test.go
+++ b/internal/coordination/failure_detection_test.go
@@ -122,10 +122,10 @@
 	})
 }
 
-// detectionShard returns a controller with a shard of machines, as many in zone a
+// newDetectionShard returns a controller with a shard of machines, as many in zone a
 // as in b, that have never reported, the input of its plans, and a function by
 // which machines send their heartbeats.
-func detectionShard(machinesPerZone int) (node *Node, s *shard, input *planInput, report func(now time.Time, machines ...string)) {
+func newDetectionShard(machinesPerZone int) (node *Node, s *shard, input *planInput, report func(now time.Time, machines ...string)) {
 	w := newWorld(1, nil)
 	node = New(w.settings, w.settings.Defaults(), storage.NewClientWithTransport(nil, 1, 1, 1), simCloud{w}, nil, nil)
 	now := time.Now()
@@ -171,7 +171,7 @@
 	return j
 }
 
-// machineNames lists the first machines of a zone, 0 or 1, as detectionShard
+// machineNames lists the first machines of a zone, 0 or 1, as newDetectionShard
 // names them.
 func machineNames(zone, count int) []string {
 	var names []string
@@ -228,7 +228,7 @@
 	t.Helper()
 	begin := time.Now()
 	now := begin
-	node, s, input, report := detectionShard(5)
+	node, s, input, report := newDetectionShard(5)
 	report(now, all...)
 	node.detectFailures(input, now)
 	for now.Before(begin.Add(c.silence)) {
@@ -265,7 +265,7 @@
 // elsewhere: tasks waited there until its lease expired.
 func TestUnsentTasksLeaveSilentMachine(t *testing.T) {
 	a, b := machineNames(0, 2), machineNames(1, 2)
-	node, s, input, report := detectionShard(2)
+	node, s, input, report := newDetectionShard(2)
 	now := time.Now()
 	report(now, a[0], a[1], b[0], b[1])
 	node.detectFailures(input, now)
@@ -303,7 +303,7 @@
 // more are requested however often it is planned.
 func TestScaleOutDuringReclaimNotice(t *testing.T) {
 	now := time.Now()
-	node, s, input, report := detectionShard(2)
+	node, s, input, report := newDetectionShard(2)
 	all := []string{"m0", "m1", "m2", "m3"}
 	report(now, all...)
 	node.detectFailures(input, now)
@@ -350,7 +350,7 @@
 // and it is not released before it ever reported.
 func TestGrantedMachineCountsAsBooting(t *testing.T) {
 	now := time.Now()
-	node, s, input, _ := detectionShard(2)
+	node, s, input, _ := newDetectionShard(2)
 	addPendingJob(s, "wk-000001", 4)
 	node.detectFailures(input, now)
 	if s.plan(input, true, now); len(s.scaleOut) != 0 {
@@ -374,7 +374,7 @@
 // preempted in time, whatever is idle in the unreachable zone.
 func TestGuaranteeWhileZoneIsUnreachable(t *testing.T) {
 	begin := time.Now()
-	node, s, input, report := detectionShard(4)
+	node, s, input, report := newDetectionShard(4)
 	a, b := []string{"m0", "m2", "m4", "m6"}, []string{"m1", "m3", "m5", "m7"}
 	input.objectives = []config.Objective{{Kind: "guarantee", WithinS: 15}}
 	input.teams = map[string]teamQuota{"red": {guarantee: storage.Resources{Cores: 8}}, "blue": {guarantee: storage.Resources{Cores: 16}}}
@@ -423,7 +423,7 @@
 // A process that was paused has not listened: heartbeats wait in its sockets,
 // and nothing is placed, taken back or requested because of the silence.
 func TestSilenceIgnoredAfterPause(t *testing.T) {
-	node, s, input, report := detectionShard(1)
+	node, s, input, report := newDetectionShard(1)
 	now := time.Now()
 	report(now, "m0", "m1")
 	node.detectFailures(input, now)
--- a/internal/coordination/heartbeat.go
+++ b/internal/coordination/heartbeat.go
@@ -25,7 +25,7 @@
 // leader also takes note of machines that belong to no shard yet. All others
 // redirect the worker.
 func (n *Node) Heartbeat(report *protocol.Heartbeat) HeartbeatAnswer {
-	n.recordArrival()
+	n.recordHeartbeatArrival()
 	deadline := time.Now().Add(maxHeartbeatWait)
 	for isLast := false; ; {
 		answer, better := n.answerNow(report)
@@ -44,57 +44,57 @@
 	}
 }
 
-// recordArrival records that a worker reaches this controller.
-func (n *Node) recordArrival() {
+// recordHeartbeatArrival records that a worker reaches this controller.
+func (n *Node) recordHeartbeatArrival() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.failureDetector.isolation.RecordHeartbeat()
 }
 
-// betterAnswer is where a better answer than a redirect or 503 may come from; at most one
+// answerAlternative is where a better answer than a redirect or 503 may come from; at most one
 // of its fields is set.
-type betterAnswer struct {
+type answerAlternative struct {
 	relay  *relayCall      // the holder
 	change <-chan struct{} // this controller, once that is closed
 }
 
 // answerNow returns this controller's answer to a worker's heartbeat as things stand,
 // and where a better one may come from.
-func (n *Node) answerNow(report *protocol.Heartbeat) (HeartbeatAnswer, betterAnswer) {
+func (n *Node) answerNow(report *protocol.Heartbeat) (HeartbeatAnswer, answerAlternative) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	now := n.now()
 	if state := n.leaseState(now); state != leaseHeld {
-		return unavailableAnswer, betterAnswer{change: n.pendingLease(state)}
+		return unavailableAnswer, answerAlternative{change: n.leaseChange(state)}
 	}
 	shardIndex, granted := n.records.ShardOfMachine[report.Machine]
 	if !granted {
-		return n.answerUngranted(report, now), betterAnswer{}
+		return n.answerUngranted(report, now), answerAlternative{}
 	}
 	if s := n.shards[shardIndex]; s != nil {
-		return n.answerAsHolder(s, report, now), betterAnswer{}
+		return n.answerAsHolder(s, report, now), answerAlternative{}
 	}
-	if response, ok := n.answerForHolder(report, shardIndex, now); ok {
-		return HeartbeatAnswer{Status: http.StatusOK, Response: response}, betterAnswer{}
+	if response, ok := n.answerAsProxy(report, shardIndex, now); ok {
+		return HeartbeatAnswer{Status: http.StatusOK, Response: response}, answerAlternative{}
 	}
 	return n.redirectToHolder(report, shardIndex, now)
 }
 
 // redirectToHolder redirects a machine to the holder of its shard, or to a controller that
 // may answer in the place of one that does not answer.
-func (n *Node) redirectToHolder(report *protocol.Heartbeat, shardIndex int, now time.Time) (HeartbeatAnswer, betterAnswer) {
+func (n *Node) redirectToHolder(report *protocol.Heartbeat, shardIndex int, now time.Time) (HeartbeatAnswer, answerAlternative) {
 	holder := n.records.Shards[shardIndex].Value.Holder.Name
 	isReachable := n.peers[holder] == nil || n.heartbeatProxy.isReachable(holder, now)
 	if isReachable && !n.heartbeatProxy.relayFailed[holder] {
-		return n.redirect(holder), betterAnswer{relay: n.newRelayCall(report, shardIndex, now)}
+		return n.redirect(holder), answerAlternative{relay: n.newRelayCall(report, shardIndex, now)}
 	}
 	if proxy := n.otherProxy(report.Machine, shardIndex, now); proxy != "" {
-		return n.redirect(proxy), betterAnswer{}
+		return n.redirect(proxy), answerAlternative{}
 	}
 	if isReachable || n.heartbeatProxy.delegations[shardIndex] == nil {
-		return n.redirect(holder), betterAnswer{change: n.pendingDelegation(report, shardIndex)}
+		return n.redirect(holder), answerAlternative{change: n.delegationChange(report, shardIndex)}
 	}
-	return n.redirect(holder), betterAnswer{change: n.pendingAcknowledgement(report, shardIndex)}
+	return n.redirect(holder), answerAlternative{change: n.acknowledgementChange(report, shardIndex)}
 }
 
 // answerUngranted answers a machine that belongs to no shard. The leader, which
--- a/internal/coordination/heartbeat_proxy.go
+++ b/internal/coordination/heartbeat_proxy.go
@@ -83,12 +83,12 @@
 	return now.Sub(last) < unreachableAfter
 }
 
-// answerForHolder answers a heartbeat in place of a holder that can't be
+// answerAsProxy answers a heartbeat in place of a holder that can't be
 // reached: it renews the worker's lease and stops tasks of cancelled jobs, and
 // starts nothing. That is safe once the store has the machine's delegation and
 // the holder's acknowledgement: from then on the holder takes the machine's lease
 // for valid, however long it is silent, and sends it nothing directly.
-func (n *Node) answerForHolder(report *protocol.Heartbeat, shardIndex int, now time.Time) (protocol.HeartbeatResponse, bool) {
+func (n *Node) answerAsProxy(report *protocol.Heartbeat, shardIndex int, now time.Time) (protocol.HeartbeatResponse, bool) {
 	delegation := n.heartbeatProxy.delegations[shardIndex]
 	if delegation == nil || !n.records.HeartbeatProxiesEnabled() || report.Zone != n.settings.Location {
 		return protocol.HeartbeatResponse{}, false
@@ -99,35 +99,35 @@
 	if !delegation.CanAnswer(report.Machine) || report.FencingToken > token {
 		return protocol.HeartbeatResponse{}, false
 	}
-	response := protocol.HeartbeatResponse{FencingToken: token, Commands: n.stopsOfEndedJobs(report, fence.Starts)}
+	response := protocol.HeartbeatResponse{FencingToken: token, Commands: n.stopCommandsForEndedJobs(report, fence.Starts)}
 	// Check the lease again, as the holder does.
 	return response, n.holdsLease(n.now())
 }
 
-// stopsOfEndedJobs returns commands that stop, without a grace period, what a
+// stopCommandsForEndedJobs returns commands that stop, without a grace period, what a
 // worker still runs of jobs that have ended, and what direct starts may have
 // started since it sent its heartbeat.
-func (n *Node) stopsOfEndedJobs(report *protocol.Heartbeat, starts []heartbeatproxy.Attempt) []protocol.Command {
+func (n *Node) stopCommandsForEndedJobs(report *protocol.Heartbeat, starts []heartbeatproxy.Attempt) []protocol.Command {
 	const noGracePeriod = 0
 	stops := []protocol.Command{}
 	listed := map[heartbeatproxy.Attempt]bool{}
 	for _, task := range report.Tasks {
 		listed[heartbeatproxy.Attempt{Task: task.Task, Number: task.Attempt}] = true
-		if key := parseTaskKey(task.Task); task.State != protocol.Exited && n.hasEnded(key.job) {
+		if key := parseTaskKey(task.Task); task.State != protocol.Exited && n.hasJobEnded(key.job) {
 			stops = append(stops, stopCommand(key, task.Attempt, noGracePeriod))
 		}
 	}
 	for _, start := range starts {
-		if key := parseTaskKey(start.Task); !listed[start] && n.hasEnded(key.job) {
+		if key := parseTaskKey(start.Task); !listed[start] && n.hasJobEnded(key.job) {
 			stops = append(stops, stopCommand(key, start.Number, noGracePeriod))
 		}
 	}
 	return stops
 }
 
-// hasEnded reports whether no live record of a job is known. A job whose record
+// hasJobEnded reports whether no live record of a job is known. A job whose record
 // can't be decoded has not ended.
-func (n *Node) hasEnded(job string) bool {
+func (n *Node) hasJobEnded(job string) bool {
 	return n.records.Jobs[job] == nil && !n.records.UnreadableJobs[job]
 }
 
--- a/internal/coordination/heartbeat_relay.go
+++ b/internal/coordination/heartbeat_relay.go
@@ -30,7 +30,7 @@
 type heartbeatRelay struct {
 	disabled       bool                  // set by tests: workers are redirected
 	relayedAt      map[string]time.Time  // when a heartbeat of each machine was last relayed
-	forgottenAt    time.Time             // when machines were last forgotten
+	evictedAt      time.Time             // when machines were last forgotten
 	loggedRefusals map[relayRefusal]bool // refusals of relayed heartbeats that were logged
 }
 
@@ -42,9 +42,9 @@
 // begin records that a machine's heartbeat is relayed now. It returns false if one
 // was a short time ago, or too many machines are remembered.
 func (r *heartbeatRelay) begin(machine string, interval time.Duration, now time.Time) bool {
-	if now.Sub(r.forgottenAt) >= interval {
-		r.forgetBefore(now.Add(-interval))
-		r.forgottenAt = now
+	if now.Sub(r.evictedAt) >= interval {
+		r.evictBefore(now.Add(-interval))
+		r.evictedAt = now
 	}
 	if last, found := r.relayedAt[machine]; found && now.Sub(last) < interval {
 		return false
@@ -56,8 +56,8 @@
 	return true
 }
 
-// forgetBefore forgets the machines whose last relayed heartbeat was before a time.
-func (r *heartbeatRelay) forgetBefore(limit time.Time) {
+// evictBefore forgets the machines whose last relayed heartbeat was before a time.
+func (r *heartbeatRelay) evictBefore(limit time.Time) {
 	maps.DeleteFunc(r.relayedAt, func(_ string, at time.Time) bool { return at.Before(limit) })
 }
 
@@ -87,7 +87,7 @@
 	if !n.heartbeatRelay.begin(report.Machine, interval, now) {
 		return nil
 	}
-	relayed := &RelayedHeartbeat{From: n.settings.HostName, Session: n.session.id, Hops: relayHops, Report: *report}
+	relayed := &RelayedHeartbeat{From: n.settings.HostName, Session: n.session.id, Hops: relayHopCount, Report: *report}
 	return &relayCall{peer: peer, holder: holder, message: PeerMessage{Heartbeat: relayed}}
 }
 
--- a/internal/coordination/heartbeat_relay_test.go
+++ b/internal/coordination/heartbeat_relay_test.go
@@ -192,8 +192,8 @@
 		t.Fatalf("answered %+v", answer)
 	}
 	for sequence := uint64(2); sequence <= 3; sequence++ {
-		message := RelayedHeartbeat{From: "n1", Session: 5, Hops: relayHops, Report: *p.heartbeat(sequence)}
-		if answer := p.holder.receiveRelayed(&message); answer.Status != http.StatusServiceUnavailable {
+		message := RelayedHeartbeat{From: "n1", Session: 5, Hops: relayHopCount, Report: *p.heartbeat(sequence)}
+		if answer := p.holder.receiveRelayedHeartbeat(&message); answer.Status != http.StatusServiceUnavailable {
 			t.Errorf("sequence %d is answered: %+v", sequence, answer)
 		}
 	}
@@ -214,7 +214,7 @@
 	past.Observe(3)
 	past.Observe(5)
 	p.holder.session.past["n1"] = past
-	valid := RelayedHeartbeat{From: "n1", Session: 5, Hops: relayHops, Report: *p.heartbeat(2)}
+	valid := RelayedHeartbeat{From: "n1", Session: 5, Hops: relayHopCount, Report: *p.heartbeat(2)}
 	for reason, change := range map[string]func(*RelayedHeartbeat){
 		"unknown controller": func(r *RelayedHeartbeat) { r.From = "n7" },
 		"too old":            func(r *RelayedHeartbeat) { r.Session = 3 },
@@ -225,7 +225,7 @@
 		invalid := valid
 		change(&invalid)
 		for range 2 {
-			if answer := p.holder.receiveRelayed(&invalid); answer.Status != http.StatusServiceUnavailable {
+			if answer := p.holder.receiveRelayedHeartbeat(&invalid); answer.Status != http.StatusServiceUnavailable {
 				t.Errorf("%s: %+v", reason, answer)
 			}
 		}
@@ -236,7 +236,7 @@
 	if heartbeat, _ := p.machine.exchange.Sequences(); heartbeat != 1 {
 		t.Error("a refused heartbeat changes what the holder knows")
 	}
-	if answer := p.holder.receiveRelayed(&valid); answer.Status != http.StatusOK {
+	if answer := p.holder.receiveRelayedHeartbeat(&valid); answer.Status != http.StatusOK {
 		t.Errorf("a valid one: %+v", answer)
 	}
 }
--- a/internal/coordination/heartbeat_wait.go
+++ b/internal/coordination/heartbeat_wait.go
@@ -33,7 +33,7 @@
 	other := ""
 	for id, delegation := range n.records.Delegations {
 		ack := n.records.DelegationAcks[id].Value
-		if id.Shard != shardIndex || !acknowledges(ack, delegation.Revision, shardLease) || !slices.Contains(ack.Machines, machine) {
+		if id.Shard != shardIndex || !isCurrentAcknowledgement(ack, delegation.Revision, shardLease) || !slices.Contains(ack.Machines, machine) {
 			continue
 		}
 		if id.Controller == n.settings.HostName {
@@ -46,9 +46,9 @@
 	return other
 }
 
-// pendingAcknowledgement returns a channel that is closed when this controller may answer
+// acknowledgementChange returns a channel that is closed when this controller may answer
 // for more machines, if a heartbeat is worth keeping for that; else nil.
-func (n *Node) pendingAcknowledgement(report *protocol.Heartbeat, shardIndex int) <-chan struct{} {
+func (n *Node) acknowledgementChange(report *protocol.Heartbeat, shardIndex int) <-chan struct{} {
 	proxy := &n.heartbeatProxy
 	delegation := proxy.delegations[shardIndex]
 	if delegation == nil || report.Zone != n.settings.Location || !delegation.AwaitsAcknowledgement(report.Machine) {
@@ -57,10 +57,10 @@
 	return proxy.nextChange()
 }
 
-// pendingDelegation returns a channel that is closed when this controller may answer for more
+// delegationChange returns a channel that is closed when this controller may answer for more
 // machines, or reaches the holder of a machine of its zone again, which has not answered it;
 // nil if the holder's session is over, or the machine can't be delegated to this controller.
-func (n *Node) pendingDelegation(report *protocol.Heartbeat, shardIndex int) <-chan struct{} {
+func (n *Node) delegationChange(report *protocol.Heartbeat, shardIndex int) <-chan struct{} {
 	if !n.records.HeartbeatProxiesEnabled() || n.settings.Location == "" || report.Zone != n.settings.Location {
 		return nil
 	}
@@ -70,9 +70,9 @@
 	return n.heartbeatProxy.nextChange()
 }
 
-// pendingLease returns a channel that is closed when this controller may act again, if it
+// leaseChange returns a channel that is closed when this controller may act again, if it
 // lacks only a recent copy of the records for that; else nil.
-func (n *Node) pendingLease(state leaseState) <-chan struct{} {
+func (n *Node) leaseChange(state leaseState) <-chan struct{} {
 	if state != recordsNotRecent {
 		return nil
 	}
--- a/internal/coordination/heartbeat_wait_bench_test.go
+++ b/internal/coordination/heartbeat_wait_bench_test.go
@@ -14,12 +14,12 @@
 // zoneMachines is how many machines of a zone are cut off from their holder at once.
 const zoneMachines = 2000
 
-// BenchmarkKeptHeartbeatsOfZone measures what a proxy needs to keep a heartbeat of each
+// BenchmarkWaitingHeartbeatsOfZone measures what a proxy needs to keep a heartbeat of each
 // machine of a zone, and to answer them all as their acknowledgement comes.
-func BenchmarkKeptHeartbeatsOfZone(b *testing.B) {
+func BenchmarkWaitingHeartbeatsOfZone(b *testing.B) {
 	for b.Loop() {
 		b.StopTimer()
-		n := proxyNode(b)
+		n := newProxyNode(b)
 		leases, names := []storage.MachineLease{}, []string{}
 		for i := range zoneMachines {
 			name := fmt.Sprintf("host-%06d", i)
--- a/internal/coordination/heartbeat_wait_test.go
+++ b/internal/coordination/heartbeat_wait_test.go
@@ -11,7 +11,7 @@
 	"reedtrack/internal/storage"
 )
 
-// zoneHeartbeat returns a heartbeat of the machine of proxyNode.
+// zoneHeartbeat returns a heartbeat of the machine of newProxyNode.
 func zoneHeartbeat(sequence uint64) *protocol.Heartbeat {
 	return &protocol.Heartbeat{Machine: "a", Address: "a:1", MachineType: "small", Zone: "b", Session: 1, Sequence: sequence, FencingToken: 2}
 }
@@ -48,7 +48,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				n := proxyNode(t)
+				n := newProxyNode(t)
 				n.refresh()
 				delegate(t, n, testDelegation, false)
 				n.refresh()
@@ -76,7 +76,7 @@
 
 // Guards against a heartbeat that is kept though what it waits for can't come any more, or
 // for longer than its worker waits.
-func TestKeptHeartbeatIsDecidedAnew(t *testing.T) {
+func TestWaitingHeartbeatIsReevaluated(t *testing.T) {
 	if maxHeartbeatWait+relayTimeout >= workerTimeout {
 		t.Error("a kept heartbeat that is relayed afterwards is answered too late")
 	}
@@ -95,7 +95,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				n := proxyNode(t)
+				n := newProxyNode(t)
 				n.heartbeatRelay.disabled = true
 				delegate(t, n, testDelegation, false)
 				n.refresh()
@@ -116,7 +116,7 @@
 
 // A heartbeat waits for nothing that can't come: no proxy of it is acknowledged where the
 // machine is left to its holder, the holder is in reach, or too many wait.
-func TestHeartbeatDoesNotWaitInVain(t *testing.T) {
+func TestHeartbeatIsAnsweredImmediately(t *testing.T) {
 	for name, change := range map[string]func(n *Node){
 		"holder in reach": func(n *Node) { n.heartbeatProxy.lastReached["n0"] = n.now(); n.heartbeatRelay.disabled = true },
 		"another zone":    func(n *Node) { n.settings.Location = "a" },
@@ -126,7 +126,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				n := proxyNode(t)
+				n := newProxyNode(t)
 				n.refresh()
 				change(n)
 				sentAt := time.Now()
@@ -154,7 +154,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				n := proxyNode(t)
+				n := newProxyNode(t)
 				n.heartbeatProxy.firstCalled["n2"] = n.now().Add(-time.Minute)
 				if c.reached {
 					n.heartbeatProxy.lastReached[c.proxy] = n.now().Add(time.Minute)
@@ -185,7 +185,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				n := proxyNode(t)
+				n := newProxyNode(t)
 				delegate(t, n, testDelegation, true)
 				n.refresh()
 				n.records.SyncedAt = n.now().Add(-n.timing.LeaseValidity)
@@ -243,7 +243,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				n := proxyNode(t)
+				n := newProxyNode(t)
 				n.peers["n0"] = &relayPeer{err: errors.New("no link")}
 				n.heartbeatProxy.lastReached["n0"] = n.now()
 				if c.prepare != nil {
--- a/internal/coordination/invariants_test.go
+++ b/internal/coordination/invariants_test.go
@@ -115,10 +115,10 @@
 	for rule, tweak := range map[string]func(n *Node){
 		"ran_twice": func(n *Node) { n.timing.WorkerTimeout = 3 * time.Second },
 		"too_early": func(n *Node) {
-			n.storedEnd = func(string) (storage.EndedJob, bool) { return storage.EndedJob{Status: protocol.Done}, true }
+			n.findEndedJob = func(string) (storage.EndedJob, bool) { return storage.EndedJob{Status: protocol.Done}, true }
 		},
 		"orphaned": func(n *Node) {
-			n.storedEnd = func(id string) (storage.EndedJob, bool) {
+			n.findEndedJob = func(id string) (storage.EndedJob, bool) {
 				e, ok := n.ends.get(id)
 				e.Status = protocol.Done
 				return e, ok
--- a/internal/coordination/isolation_behind_cut_test.go
+++ b/internal/coordination/isolation_behind_cut_test.go
@@ -23,7 +23,7 @@
 // Guards against a holder that gives its session up during a cut between zones since the
 // few machines on its side are silent for a moment: its jobs then stand still until the
 // cut is over. It still steps down if that lasts, or if it should hear many.
-func TestFewSilentMachinesBesideDelegatedOnes(t *testing.T) {
+func TestFewSilentMachinesAmongDelegated(t *testing.T) {
 	const machinesPerZone = 4
 	for _, c := range []struct {
 		name      string
@@ -38,7 +38,7 @@
 		{"none delegated", 0, 5 * time.Second, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			n, s, _, report := detectionShard(machinesPerZone)
+			n, s, _, report := newDetectionShard(machinesPerZone)
 			now := time.Now()
 			n.records.Controllers["n1"] = clusterstate.Entry[storage.Controller]{}
 			n.records.Controllers["n2"] = clusterstate.Entry[storage.Controller]{}
@@ -59,7 +59,7 @@
 // Guards against a new holder that steps down during a cut between zones since the machines
 // that a heartbeat proxy answers have never reported to it: the few that should report here
 // may be silent by coincidence. It still steps down if they stay silent, or are many.
-func TestNewHolderBesideDelegatedMachines(t *testing.T) {
+func TestNewHolderWithDelegatedMachines(t *testing.T) {
 	const machinesPerZone = 4
 	for _, c := range []struct {
 		name      string
@@ -76,7 +76,7 @@
 		{"none delegated", 0, 0, 9 * time.Second, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			n, s, _, _ := detectionShard(machinesPerZone)
+			n, s, _, _ := newDetectionShard(machinesPerZone)
 			now := time.Now()
 			n.records.Controllers["n1"] = clusterstate.Entry[storage.Controller]{}
 			n.records.Controllers["n2"] = clusterstate.Entry[storage.Controller]{}
--- a/internal/coordination/leadership.go
+++ b/internal/coordination/leadership.go
@@ -171,7 +171,7 @@
 func (n *Node) planAsLeader(now time.Time) *grantPlan {
 	status := n.buildStatus()
 	n.serveOwnShards(status, now)
-	if !n.showsLastGrant(now) {
+	if !n.isLastGrantApplied(now) {
 		return nil
 	}
 	plan := n.planGrant(status, now)
@@ -189,10 +189,10 @@
 	n.applyStatusReply(&reply)
 }
 
-// showsLastGrant reports whether the copy of the records shows the last grant,
+// isLastGrantApplied reports whether the copy of the records shows the last grant,
 // or is no longer waited for. The next grant names the last one's fencing
 // token, so before that it would only fail.
-func (n *Node) showsLastGrant(now time.Time) bool {
+func (n *Node) isLastGrantApplied(now time.Time) bool {
 	l := n.leadership
 	return n.records.AppliedRevision >= l.grantRevision || now.Sub(l.grantWrittenAt) > maxApplyDelay
 }
--- a/internal/coordination/lease_loop.go
+++ b/internal/coordination/lease_loop.go
@@ -26,11 +26,11 @@
 			n.awaitSessionStep(ctx, delay)
 		case step.Operation == session.RenewLease:
 			renewals.Go(func() {
-				n.takeSessionStep(ctx, step)
+				n.runSessionStep(ctx, step)
 				signal(n.wake.lease)
 			})
 		default:
-			n.takeSessionStep(ctx, step)
+			n.runSessionStep(ctx, step)
 		}
 	}
 }
@@ -60,8 +60,8 @@
 	}
 }
 
-// takeSessionStep performs a step of the session and tells it the outcome.
-func (n *Node) takeSessionStep(ctx context.Context, step session.Step) {
+// runSessionStep performs a step of the session and tells it the outcome.
+func (n *Node) runSessionStep(ctx context.Context, step session.Step) {
 	result, err := n.performStep(ctx, step)
 	if err != nil {
 		slog.Debug("lease step failed", "step", step.Operation, "err", err)
--- a/internal/coordination/lease_renewal_test.go
+++ b/internal/coordination/lease_renewal_test.go
@@ -14,7 +14,7 @@
 	for _, lost := range []int{1, 7, 16} {
 		t.Run(fmt.Sprint(lost, " unanswered"), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				w, key := singleController(t)
+				w, key := startSingleController(t)
 				before, _ := key()
 				link := w.nodes[0].wire
 				link.mu.Lock()
@@ -44,7 +44,7 @@
 // in time, and it has it again soon after one is answered.
 func TestLeaseRunsOutWithoutAnswers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w, _ := singleController(t)
+		w, _ := startSingleController(t)
 		link := w.nodes[0].wire
 		link.mu.Lock()
 		link.renewalsToLose = 1 << 20
--- a/internal/coordination/limits_test.go
+++ b/internal/coordination/limits_test.go
@@ -116,7 +116,7 @@
 	used := time.Duration(0)
 	for range 20 {
 		m.update(at, used, 0.1)
-		at, used = at.Add(meterInterval), used+meterInterval/20
+		at, used = at.Add(minMeterInterval), used+minMeterInterval/20
 	}
 	if m.utilization < 0.45 || m.utilization > 0.55 {
 		t.Errorf("a twentieth of the time is half of a tenth, not %g", m.utilization)
--- a/internal/coordination/loops.go
+++ b/internal/coordination/loops.go
@@ -14,10 +14,10 @@
 	// wakeBatchDelay is how long a loop that was woken waits for more of the same
 	// burst, such as the heartbeats of many workers.
 	wakeBatchDelay = 20 * time.Millisecond
-	// pausePerRuntime is how many times as long as it ran a loop pauses: it gets
+	// pauseToRuntimeRatio is how many times as long as it ran a loop pauses: it gets
 	// at most a tenth of the time. On a share of a processor it would otherwise
 	// crowd out the answers to workers.
-	pausePerRuntime = 9
+	pauseToRuntimeRatio = 9
 	// maxLoopPause bounds that pause, so that a loop that was slow once does not
 	// stand still. See pauseThreshold, which counts on it.
 	maxLoopPause = 2 * loopPeriod
@@ -36,11 +36,11 @@
 		n.readIndex.Run, // confirms that the copy is recent; when users' requests wait for it
 		n.cloudLoop,     // calls the cloud, as the leader; ten times a second, and as the cloud's rate allows
 
-		wakeable(n.wake.plan, n.planTick),               // plans the shards; every loopPeriod
-		wakeable(n.wake.write, n.writeTick),             // writes the shards' records; every loopPeriod
-		wakeable(n.wake.leader, n.leaderTick),           // stands for leader, grants as the leader; every loopPeriod
-		wakeable(n.wake.dependencies, n.dependencyTick), // reads ends, cancels dependents; every loopPeriod
-		n.delegationLoop,                                // writes delegations and acknowledgements, each on its own; every loopPeriod
+		wakeableLoop(n.wake.plan, n.planTick),               // plans the shards; every loopPeriod
+		wakeableLoop(n.wake.write, n.writeTick),             // writes the shards' records; every loopPeriod
+		wakeableLoop(n.wake.leader, n.leaderTick),           // stands for leader, grants as the leader; every loopPeriod
+		wakeableLoop(n.wake.dependencies, n.dependencyTick), // reads ends, cancels dependents; every loopPeriod
+		n.delegationLoop, // writes delegations and acknowledgements, each on its own; every loopPeriod
 	}
 	if n.latency != nil {
 		loops = append(loops, n.logLatencyLoop) // logs summaries; five times per LatencyLogInterval
@@ -61,8 +61,8 @@
 	wg.Wait()
 }
 
-// wakeups are channels that wake the loops before their next period, see signal.
-type wakeups struct {
+// wakeChannels are channels that wake the loops before their next period, see signal.
+type wakeChannels struct {
 	plan         chan struct{}
 	write        chan struct{}
 	leader       chan struct{}
@@ -71,10 +71,10 @@
 	lease        chan struct{}
 }
 
-// newWakeups returns channels that hold one signal each: a loop that is woken
+// newWakeChannels returns channels that hold one signal each: a loop that is woken
 // several times before it runs needs to run only once.
-func newWakeups() wakeups {
-	return wakeups{
+func newWakeChannels() wakeChannels {
+	return wakeChannels{
 		plan:         make(chan struct{}, 1),
 		write:        make(chan struct{}, 1),
 		leader:       make(chan struct{}, 1),
@@ -100,10 +100,10 @@
 	}
 }
 
-// wakeable returns the loop that calls tick when woken, and at least every
+// wakeableLoop returns the loop that calls tick when woken, and at least every
 // loopPeriod and the pause after the last call. tick returns how long it had the
 // processor.
-func wakeable(wake <-chan struct{}, tick func(context.Context) time.Duration) func(context.Context) {
+func wakeableLoop(wake <-chan struct{}, tick func(context.Context) time.Duration) func(context.Context) {
 	return func(ctx context.Context) {
 		for ctx.Err() == nil {
 			select {
@@ -113,7 +113,7 @@
 				sleep(ctx, wakeBatchDelay)
 			case <-time.After(loopPeriod):
 			}
-			sleep(ctx, min(pausePerRuntime*tick(ctx), maxLoopPause))
+			sleep(ctx, min(pauseToRuntimeRatio*tick(ctx), maxLoopPause))
 		}
 	}
 }
@@ -178,7 +178,7 @@
 func (n *Node) planShard(s *shard, input *planInput, full bool, now time.Time) {
 	s.dirty = false
 	n.markRemovedMachines(s)
-	n.refreshDelegated(s, now)
+	n.refreshDelegatedMachines(s, now)
 	s.expireSilentMachines(now, n.timing.WorkerTimeout)
 	if full {
 		s.detectSlowMachines(now)
--- a/internal/coordination/migration_to_room_test.go
+++ b/internal/coordination/migration_to_room_test.go
@@ -206,7 +206,7 @@
 // requested for it: it waited for over 90 s, held back, waiting and held back again, since
 // its tasks ran for longer than they were to.
 func TestLeavingJobKeepsRequestedMachine(t *testing.T) {
-	n, s, input, report := detectionShard(1)
+	n, s, input, report := newDetectionShard(1)
 	now := time.Now()
 	report(now, "m0", "m1")
 	n.detectFailures(input, now)
--- a/internal/coordination/node.go
+++ b/internal/coordination/node.go
@@ -31,24 +31,24 @@
 
 // Node is one controller process.
 type Node struct {
-	settings  *config.Settings
-	latency   *latency.Recorder // nil: latency is not recorded
-	operator  config.Operator
-	timing    config.Timing
-	store     *storage.Client
-	cloud     Cloud
-	peers     map[string]Peer
-	direct    Direct
-	limiter   *dispatch.Limiter
-	guards    dispatch.DisabledGuards // disabled one at a time by tests
-	now       func() time.Time
-	cpuTime   func() time.Duration                     // processor time that the process has used
-	storedEnd func(id string) (storage.EndedJob, bool) // how a job ended, if the store is known to have its end
-	replica   *storage.Replica
-	readIndex *storage.ReadIndex
-	confirm   func(context.Context) error // brings the copies below up to all that was committed before the call
-
-	wake wakeups
+	settings     *config.Settings
+	latency      *latency.Recorder // nil: latency is not recorded
+	operator     config.Operator
+	timing       config.Timing
+	store        *storage.Client
+	cloud        Cloud
+	peers        map[string]Peer
+	direct       Direct
+	limiter      *dispatch.Limiter
+	guards       dispatch.DisabledGuards // disabled one at a time by tests
+	now          func() time.Time
+	cpuTime      func() time.Duration                     // processor time that the process has used
+	findEndedJob func(id string) (storage.EndedJob, bool) // how a job ended, if the store is known to have its end
+	replica      *storage.Replica
+	readIndex    *storage.ReadIndex
+	confirm      func(context.Context) error // brings the copies below up to all that was committed before the call
+
+	wake wakeChannels
 
 	// mu guards all fields below.
 	mu sync.Mutex
@@ -125,7 +125,7 @@
 		now:      time.Now,
 		cpuTime:  processTime,
 
-		wake: newWakeups(),
+		wake: newWakeChannels(),
 		records: clusterstate.New(func(record *storage.Job) float64 {
 			return deadlineSeconds(record, settings.Deployment.Objectives)
 		}),
@@ -145,7 +145,7 @@
 		loggedStatusErrors: map[statusValueError]bool{},
 	}
 	n.session = newControllerSession(n.timing, settings)
-	n.storedEnd = n.ends.get
+	n.findEndedJob = n.ends.get
 	n.initWorkers()
 	n.initReplica()
 	return n
--- a/internal/coordination/peer_message.go
+++ b/internal/coordination/peer_message.go
@@ -18,6 +18,6 @@
 	if message.Heartbeat == nil {
 		return PeerReply{StatusReply: n.ReceiveStatus(message.Status)}
 	}
-	answer := n.receiveRelayed(message.Heartbeat)
+	answer := n.receiveRelayedHeartbeat(message.Heartbeat)
 	return PeerReply{Heartbeat: &answer}
 }
--- a/internal/coordination/relayed_heartbeat.go
+++ b/internal/coordination/relayed_heartbeat.go
@@ -13,9 +13,9 @@
 const (
 	// maxRelayedTasks is how many tasks a relayed heartbeat may list.
 	maxRelayedTasks = 4096
-	// relayHops is how often a relayed heartbeat has been relayed: it goes to the holder
+	// relayHopCount is how often a relayed heartbeat has been relayed: it goes to the holder
 	// or nowhere.
-	relayHops = 1
+	relayHopCount = 1
 	// maxLoggedRefusals bounds the refusals that are logged.
 	maxLoggedRefusals = 64
 )
@@ -40,15 +40,15 @@
 	return fmt.Sprintf("heartbeat relayed by %s: %s", e.from, e.reason)
 }
 
-// checkRelayed returns an error for a relayed heartbeat that must not be looked at.
-func (n *Node) checkRelayed(relayed *RelayedHeartbeat) error {
+// checkRelayedHeartbeat returns an error for a relayed heartbeat that must not be looked at.
+func (n *Node) checkRelayedHeartbeat(relayed *RelayedHeartbeat) error {
 	past := n.session.past[relayed.From]
 	switch {
 	case n.peers[relayed.From] == nil:
 		return relayRefusal{relayed.From, "unknown controller"}
 	case past != nil && past.IsExpired(relayed.Session):
 		return relayRefusal{relayed.From, "too old: its session has ended"}
-	case relayed.Hops != relayHops:
+	case relayed.Hops != relayHopCount:
 		return relayRefusal{relayed.From, "relayed before"}
 	case len(relayed.Report.Tasks) > maxRelayedTasks:
 		return relayRefusal{relayed.From, "too large"}
@@ -56,11 +56,11 @@
 	return relayed.Report.Validate()
 }
 
-// receiveRelayed answers a relayed heartbeat as the holder of its shard.
-func (n *Node) receiveRelayed(relayed *RelayedHeartbeat) HeartbeatAnswer {
+// receiveRelayedHeartbeat answers a relayed heartbeat as the holder of its shard.
+func (n *Node) receiveRelayedHeartbeat(relayed *RelayedHeartbeat) HeartbeatAnswer {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if err := n.checkRelayed(relayed); err != nil {
+	if err := n.checkRelayedHeartbeat(relayed); err != nil {
 		n.logRelayRefusal(relayed.From, err)
 		return unavailableAnswer
 	}
--- a/internal/coordination/session_test.go
+++ b/internal/coordination/session_test.go
@@ -12,16 +12,16 @@
 	"reedtrack/internal/storage"
 )
 
-// singleController returns a world of one controller that has opened its
+// startSingleController returns a world of one controller that has opened its
 // session, and a function that reads the controller's key and its revision.
-func singleController(t *testing.T) (w *world, key func() (storage.Controller, uint64)) {
+func startSingleController(t *testing.T) (w *world, key func() (storage.Controller, uint64)) {
 	t.Helper()
 	w = newWorld(1, nil)
 	t.Cleanup(w.open())
 	w.nodes = []*simNode{{name: "n0"}}
 	w.settings.Deployment.Count = 1
 	w.start(0)
-	w.withoutFailures()
+	w.disableLinkFailures()
 	time.Sleep(3 * time.Second)
 	return w, func() (controller storage.Controller, revision uint64) {
 		_, answer := w.store.Handle(w.ctx, http.MethodGet, "/keys/"+storage.ControllerKey("n0"), nil, nil)
@@ -33,9 +33,9 @@
 	}
 }
 
-// withoutFailures lets every answer arrive, and returns the controller's last
+// disableLinkFailures lets every answer arrive, and returns the controller's last
 // write of its own key.
-func (w *world) withoutFailures() []byte {
+func (w *world) disableLinkFailures() []byte {
 	link := w.nodes[0].wire
 	link.mu.Lock()
 	defer link.mu.Unlock()
@@ -55,10 +55,10 @@
 	return status
 }
 
-// writeForeignKey writes a controller's key as a process of the previous
+// overwriteControllerKey writes a controller's key as a process of the previous
 // version does that has ended since: unconditionally, and under a lease that
 // nobody renews.
-func (w *world) writeForeignKey() {
+func (w *world) overwriteControllerKey() {
 	_, answer := w.store.Handle(w.ctx, http.MethodPost, "/grants", nil, []byte(`{"life_ms":5000}`))
 	lease := answer.(protocol.LeaseGrant).LeaseID
 	w.commit(protocol.Write{Put: storage.ControllerKey("n0"), Value: storage.Controller{Name: "n0", Session: lease}, LeaseID: lease})
@@ -68,8 +68,8 @@
 // own key, though its lease may still be valid.
 func TestLateKeyOfPreviousProcessFails(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w, key := singleController(t)
-		lateTxn, first := w.withoutFailures(), w.node(0)
+		w, key := startSingleController(t)
+		lateTxn, first := w.disableLinkFailures(), w.node(0)
 		w.kill(0)
 		first.mu.Lock()
 		oldLease := first.session.own.Lease()
@@ -79,7 +79,7 @@
 		// key.
 		w.commit(protocol.Write{Delete: storage.ControllerKey("n0")})
 		w.start(0)
-		w.withoutFailures()
+		w.disableLinkFailures()
 		time.Sleep(time.Second)
 		before, _ := key()
 		w.renewLease(oldLease)
@@ -99,12 +99,12 @@
 // never granted anything again.
 func TestControllerDetectsLostKey(t *testing.T) {
 	for name, loseKey := range map[string]func(w *world){
-		"overwritten": func(w *world) { w.writeForeignKey() },
+		"overwritten": func(w *world) { w.overwriteControllerKey() },
 		"gone":        func(w *world) { w.commit(protocol.Write{Delete: storage.ControllerKey("n0")}) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				w, key := singleController(t)
+				w, key := startSingleController(t)
 				before, _ := key()
 				loseKey(w)
 				time.Sleep(time.Second)
@@ -132,13 +132,13 @@
 // revoked.
 func TestQuickRestartKeepsShards(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w, key := singleController(t)
+		w, key := startSingleController(t)
 		time.Sleep(2 * time.Second)
 		before, _ := key()
 		w.kill(0)
 		time.Sleep(50 * time.Millisecond)
 		w.start(0)
-		w.withoutFailures()
+		w.disableLinkFailures()
 		time.Sleep(1500 * time.Millisecond)
 		n := w.node(0)
 		n.mu.Lock()
--- a/internal/coordination/sim_delegation_order_test.go
+++ b/internal/coordination/sim_delegation_order_test.go
@@ -72,7 +72,7 @@
 	*delayCase
 	w        *world
 	mu       sync.Mutex // guards all below; locked before the world's and the nodes'
-	machines []*cutMachine
+	machines []*partitionedMachine
 	attempts map[string]int
 	sent     map[string]bool   // what each controller has sent since the cut
 	forced   map[writeKind]int // the greatest attempt of each kind that was unanswered
@@ -84,7 +84,9 @@
 }
 
 // sinceCut returns the time since the last cut began.
-func (o *delayOrder) sinceCut() time.Duration { return time.Since(o.w.startedAt) - o.lastCut().at }
+func (o *delayOrder) sinceCut() time.Duration {
+	return time.Since(o.w.startedAt) - o.lastPartition().at
+}
 
 // logf notes what happens now.
 func (o *delayOrder) logf(format string, a ...any) {
@@ -109,7 +111,7 @@
 	}
 	fate := forcedFate{}
 	if attempt <= o.unanswered[kind] || isOther && o.isDue(sender) {
-		fate.late = lateBy
+		fate.late = lateWriteDelay
 		o.forced[kind] = max(o.forced[kind], attempt)
 		if isOther {
 			o.sent[sender+string(kind)] = true
@@ -134,15 +136,15 @@
 func (o *delayOrder) isHeld(sender string, kind writeKind) bool {
 	since := o.sinceCut()
 	if since < 0 {
-		return since > -heldBefore || kind == schemaWrite
+		return since > -rejectBeforePartition || kind == schemaWrite
 	}
-	return o.concerns(sender) && since < dueAfter
+	return o.concerns(sender) && since < competingWriteDelay
 }
 
 // isDue reports whether another write may now be in the way of a delegation or of an
 // acknowledgement, from the second before these are due.
 func (o *delayOrder) isDue(sender string) bool {
-	return o.concerns(sender) && o.sinceCut() >= dueAfter && o.sinceCut() < maxProxyDelay
+	return o.concerns(sender) && o.sinceCut() >= competingWriteDelay && o.sinceCut() < maxProxyDelay
 }
 
 // concerns reports whether a controller is a proxy of the first cut-off machine or, with
@@ -174,7 +176,7 @@
 }
 
 // reach records the first time that a machine has come to a step.
-func (o *delayOrder) reach(m *cutMachine, step string) {
+func (o *delayOrder) reach(m *partitionedMachine, step string) {
 	if _, found := m.steps[step]; !found {
 		m.steps[step] = o.sinceCut()
 	}
@@ -189,7 +191,7 @@
 	}
 	time.Sleep(-o.sinceCut() + time.Millisecond)
 	o.findMachines()
-	for o.sinceCut() < min(o.lastCut().duration, 30*sec) {
+	for o.sinceCut() < min(o.lastPartition().duration, 30*sec) {
 		o.mu.Lock()
 		for _, m := range o.machines {
 			o.observe(m)
@@ -217,28 +219,28 @@
 				n.node.mu.Lock()
 				shard := n.node.records.ShardOfMachine[id]
 				n.node.mu.Unlock()
-				o.machines = append(o.machines, &cutMachine{worker: worker, shard: shard, holder: n, session: worker.session, steps: map[string]time.Duration{}})
+				o.machines = append(o.machines, &partitionedMachine{worker: worker, shard: shard, holder: n, session: worker.session, steps: map[string]time.Duration{}})
 			}
 		}
 	}
 	// The busiest holder is in zone a: it comes first in the role that is held up.
-	slices.SortStableFunc(o.machines, func(a, b *cutMachine) int { return cmp.Compare(a.worker.rental.Zone, b.worker.rental.Zone) })
+	slices.SortStableFunc(o.machines, func(a, b *partitionedMachine) int { return cmp.Compare(a.worker.rental.Zone, b.worker.rental.Zone) })
 	if o.beforeAck {
 		slices.Reverse(o.machines)
 	}
 }
 
 // observe records the steps that show at a machine's holder, its proxies and its worker.
-func (o *delayOrder) observe(m *cutMachine) {
+func (o *delayOrder) observe(m *partitionedMachine) {
 	holder, id := m.holder.node, m.worker.id
 	holder.mu.Lock()
 	if holder.records.DelegatedMachines[m.shard][id] {
-		o.reach(m, shownAtHolder)
+		o.reach(m, visibleToHolder)
 	}
 	holder.mu.Unlock()
 	answerable := slices.ContainsFunc(o.w.nodes, func(n *simNode) bool { return n.zone == m.worker.rental.Zone && n.node.mayAnswerMachine(id) })
 	if answerable {
-		o.reach(m, shownAtProxy)
+		o.reach(m, visibleToProxy)
 	}
 	if answerable != m.answerable {
 		o.logf("%s may be answered: %v", id, answerable)
@@ -246,7 +248,7 @@
 	m.answerable = answerable
 	o.w.mu.Lock()
 	defer o.w.mu.Unlock()
-	if m.worker.session == m.session && m.worker.lastAcknowledged.Sub(o.w.startedAt) > o.lastCut().at {
+	if m.worker.session == m.session && m.worker.lastAcknowledged.Sub(o.w.startedAt) > o.lastPartition().at {
 		o.reach(m, firstAnswer)
 	}
 }
@@ -259,8 +261,8 @@
 	o.w.mu.Lock()
 	defer o.w.mu.Unlock()
 	for _, m := range o.machines {
-		shown, found := m.steps[shownAtProxy]
-		from := o.w.startedAt.Add(o.lastCut().at + shown)
+		shown, found := m.steps[visibleToProxy]
+		from := o.w.startedAt.Add(o.lastPartition().at + shown)
 		heartbeats := m.worker.trace.heartbeats
 		for i, h := range heartbeats {
 			if !found || h.to != o.mute || h.status != http.StatusMisdirectedRequest || h.sentAt.Before(from) {
@@ -268,7 +270,7 @@
 			}
 			o.asked++
 			if i+1 < len(heartbeats) && heartbeats[i+1].fate == heartbeatCutOff {
-				m.detours++
+				m.holderRedirects++
 			}
 		}
 		o.log = append(o.log, m.worker.id+" "+o.describeHeartbeats(m))
@@ -276,10 +278,10 @@
 }
 
 // describeHeartbeats lists a machine's heartbeats from the cut to its first answer.
-func (o *delayOrder) describeHeartbeats(m *cutMachine) string {
+func (o *delayOrder) describeHeartbeats(m *partitionedMachine) string {
 	var text strings.Builder
 	for _, h := range m.worker.trace.heartbeats {
-		at := h.sentAt.Sub(o.w.startedAt) - o.lastCut().at
+		at := h.sentAt.Sub(o.w.startedAt) - o.lastPartition().at
 		if answered, found := m.steps[firstAnswer]; at > -sec && (!found || at < answered) {
 			fmt.Fprintf(&text, " %.2f %s %s %d;", at.Seconds(), h.to, h.fate, h.status)
 		}
--- a/internal/coordination/standstill_test.go
+++ b/internal/coordination/standstill_test.go
@@ -8,7 +8,7 @@
 
 // Guards against a holder that gives its session up after it stood still: nothing of the
 // workers or of the key-value store reached it, which says nothing of the workers.
-func TestHolderKeepsSessionAfterStandstill(t *testing.T) {
+func TestHolderKeepsSessionAfterPause(t *testing.T) {
 	const standstill = 6 * time.Second // longer than a step-down takes, shorter than the lease
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(3, nil)
--- a/internal/coordination/status_check.go
+++ b/internal/coordination/status_check.go
@@ -39,16 +39,16 @@
 		shardStatus := &status.Shards[i]
 		shardStatus.Startable = maps.Clone(shardStatus.Startable)
 		maps.DeleteFunc(shardStatus.Startable, func(team string, amount storage.Resources) bool {
-			return n.isInvalid(n.checkStartable(status.From, shardStatus.Index, team, amount))
+			return n.logIfInvalid(n.checkStartable(status.From, shardStatus.Index, team, amount))
 		})
 		shardStatus.Room = slices.DeleteFunc(slices.Clone(shardStatus.Room), func(room machineRoom) bool {
-			return n.isInvalid(n.checkRoom(status.From, shardStatus.Index, room))
+			return n.logIfInvalid(n.checkRoom(status.From, shardStatus.Index, room))
 		})
 	}
 }
 
-// isInvalid reports whether a check found an error, which it logs the first time.
-func (n *Node) isInvalid(err *statusValueError) bool {
+// logIfInvalid reports whether a check found an error, which it logs the first time.
+func (n *Node) logIfInvalid(err *statusValueError) bool {
 	if err == nil {
 		return false
 	}
