--- a/internal/coordination/cpu_meter.go
+++ b/internal/coordination/cpu_meter.go
@@ -5,25 +5,24 @@
 	"time"
 )
 
-// cpuMeter measures how much of its processor share a controller uses.
+// cpuMeter measures which fraction of its CPU share a controller uses.
 type cpuMeter struct {
 	readAt      time.Time
 	usedAtRead  time.Duration
-	utilization float64 // part of the share in use; a moving average
+	utilization float64 // fraction of the CPU share in use, as a moving average
 }
 
 const (
-	// minMeterInterval is the least time between two readings: over a shorter one
-	// a single plan would look like a load.
+	// minMeterInterval is the minimum time between two readings. Over a shorter interval a
+	// single planning run would look like sustained load.
 	minMeterInterval = 2 * time.Second
-	// maxUtilization is the part of its processor share above which a controller
-	// gets no new jobs while another can take them: its answers would begin to
-	// be late.
+	// maxUtilization is the utilization above which a controller is assigned no new jobs
+	// while another can take them, because its responses would become slow.
 	maxUtilization = 0.7
 )
 
-// update takes a reading of the process's processor time; share is what it may
-// use.
+// update records a reading of the process's CPU time. share is the CPU share that the
+// process may use, in cores.
 func (m *cpuMeter) update(now time.Time, used time.Duration, share float64) {
 	if m.readAt.IsZero() {
 		m.readAt, m.usedAtRead = now, used
@@ -36,7 +35,7 @@
 	}
 }
 
-// processTime returns the processor time that this process has used.
+// processTime returns the CPU time used by this process, or 0 if it is unknown.
 func processTime() time.Duration {
 	var usage syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &usage) != nil {
@@ -45,8 +44,7 @@
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// isHolderOverloaded reports whether a shard's holder uses up its processor
-// share.
+// isHolderOverloaded reports whether the holder of a shard exceeds maxUtilization.
 func (n *Node) isHolderOverloaded(shard int) bool {
 	if n.shards[shard] != nil {
 		return n.cpuMeter.utilization > maxUtilization
--- a/internal/coordination/delegation_acks.go
+++ b/internal/coordination/delegation_acks.go
@@ -11,12 +11,11 @@
 	"reedtrack/internal/storage"
 )
 
-// Acknowledgements are what a controller writes as a holder: the machines of its
-// shards that a heartbeat proxy may answer. The proxy's side is in
-// delegations.go.
+// A holder writes acknowledgements, which list the machines of its shards that a heartbeat
+// proxy may answer. The proxy's side is in delegations.go.
 
-// refreshDelegatedMachines keeps delegated machines from being expired: the proxy may
-// renew their workers' leases.
+// refreshDelegatedMachines keeps delegated machines from being expired, because the proxy
+// may be renewing their workers' leases.
 func (n *Node) refreshDelegatedMachines(s *shard, now time.Time) {
 	if n.heartbeatProxy.ignoreDelegated {
 		return
@@ -28,9 +27,10 @@
 	}
 }
 
-// acknowledgementTxns returns the writes by which this controller, as a holder,
-// acknowledges delegations, and deletes acknowledgements of those that are
-// gone. At most one of them mints a fencing token: the next would fail.
+// acknowledgementTxns returns the transactions by which this controller, as a holder,
+// acknowledges delegations and deletes the acknowledgements of deleted delegations. At
+// most one of them mints a fencing token, since a second one would conflict with the
+// first.
 func (n *Node) acknowledgementTxns() []protocol.Txn {
 	var txns []protocol.Txn
 	canMint := n.records.MachineFencesEnabled()
@@ -57,18 +57,18 @@
 	return txns
 }
 
-// sortedDelegations returns the IDs of delegations in an order that stays the same, so that
-// a write that is due twice is the same one.
+// sortedDelegations returns the delegation IDs in a stable order, so that a transaction
+// that is built again is identical.
 func sortedDelegations(delegations map[storage.DelegationID]clusterstate.Entry[storage.Delegation]) []storage.DelegationID {
 	return slices.SortedFunc(maps.Keys(delegations), func(a, b storage.DelegationID) int {
 		return cmp.Or(cmp.Compare(a.Shard, b.Shard), cmp.Compare(a.Controller, b.Controller), cmp.Compare(a.Record, b.Record))
 	})
 }
 
-// acknowledgementTxn returns the write that acknowledges a delegation of machines
-// of a shard, conditional on the shard, on the delegation and on the last
-// acknowledgement; not due if there is nothing new to acknowledge. If canMint, it
-// mints a fencing token for machines that need a fence.
+// acknowledgementTxn returns the transaction that acknowledges a delegation, conditional
+// on the shard, the delegation and the previous acknowledgement. due is false if there is
+// nothing new to acknowledge. If canMint is set, it mints a fencing token for machines
+// that need a fence.
 func (n *Node) acknowledgementTxn(s *shard, id storage.DelegationID, delegation clusterstate.Entry[storage.Delegation], canMint bool) (txn protocol.Txn, due, minted bool) {
 	next := storage.DelegationAck{
 		DelegationRevision: delegation.Revision,
@@ -79,7 +79,7 @@
 	previous := n.records.DelegationAcks[id]
 	isSame := isSameDelegation(previous.Value, next)
 	if isSame {
-		// What was acknowledged stays: no direct message is sent to a
+		// Acknowledged machines stay acknowledged, because no direct message is sent to a
 		// delegated machine.
 		next.Machines = union(previous.Value.Machines, next.Machines)
 		next.Fences = previous.Value.Fences
@@ -108,15 +108,14 @@
 	return txn, true, minted
 }
 
-// isSameDelegation reports whether two acknowledgements are of the same
-// delegation record, by the same holder.
+// isSameDelegation reports whether two acknowledgements are for the same revision of a
+// delegation, by the same holder.
 func isSameDelegation(a, b storage.DelegationAck) bool {
 	return a.DelegationRevision == b.DelegationRevision && a.Session == b.Session && a.FencingToken == b.FencingToken
 }
 
-// acknowledgeableMachines lists the machines to which no directly sent start is in
-// flight: such a start would stay valid for as long as the proxy renews the
-// worker's lease.
+// acknowledgeableMachines returns the machines without a direct start in flight. Such a
+// start would stay valid for as long as the proxy renews the worker's lease.
 func (n *Node) acknowledgeableMachines(s *shard, names []string) []string {
 	var acknowledgeable []string
 	for _, name := range names {
@@ -131,11 +130,11 @@
 	return acknowledgeable
 }
 
-// isDelegable reports whether a proxy may keep what runs on the machine.
+// isDelegable reports whether a proxy may keep the machine's tasks running.
 func (m *machine) isDelegable() bool { return !m.isExpired() && !m.removed && !m.releasing }
 
-// hasStartInFlight reports whether a directly sent start may still be carried out
-// by the machine, also once its worker has seen the machine's present token.
+// hasStartInFlight reports whether the machine may still execute a direct start, even
+// after its worker has seen the machine's current fencing token.
 func (m *machine) hasStartInFlight() bool {
 	for _, run := range m.attempts {
 		if run.start.IsUnconfirmed() && run.directToken >= m.fenceToken {
@@ -145,7 +144,7 @@
 	return false
 }
 
-// union merges two lists of names in order.
+// union returns the sorted union of two lists of names.
 func union(a, b []string) []string {
 	all := slices.Concat(a, b)
 	slices.Sort(all)
--- a/internal/coordination/delegation_delay_order_test.go
+++ b/internal/coordination/delegation_delay_order_test.go
@@ -16,31 +16,32 @@
 )
 
 const (
-	// maxProxyDelay is the target for a machine that a cut between zones separates from
-	// its holder: from the start of the cut to its first answer by a heartbeat proxy.
+	// maxProxyDelay is the target for the time between the start of a partition that
+	// separates a machine from its holder and the machine's first answer by a heartbeat
+	// proxy.
 	maxProxyDelay = 6 * sec
-	// lateWriteDelay is after how long an unanswered write is carried out.
+	// lateWriteDelay is the delay after which an unanswered write is executed.
 	lateWriteDelay = 12 * sec
-	// rejectBeforePartition is how long before a cut other writes are refused, so that one is
-	// pending in the cut.
+	// rejectBeforePartition is how long before a partition competing writes are rejected,
+	// so that one of them is pending during the partition.
 	rejectBeforePartition = 10 * sec
-	// competingWriteDelay is when that one is let go: delegations are due 2 s after the start of
-	// the cut, and acknowledgements with them.
+	// competingWriteDelay is when the pending write is let through. Delegations are due 2
+	// s after the start of the partition, and acknowledgements with them.
 	competingWriteDelay = 1200 * time.Millisecond
-	// lastPartitionEnd is when no cut of any case lasts any more.
+	// lastPartitionEnd is when the partitions of all cases have ended.
 	lastPartitionEnd = 120 * sec
 )
 
-// partitionedMachine is a machine with a task that a cut separates from its holder, and when
-// each step towards its first answer was made, since the cut.
+// partitionedMachine is a machine with a task that a partition separates from its holder,
+// with the times of the steps towards its first answer, since the start of the partition.
 type partitionedMachine struct {
 	worker          *simWorker
 	shard           int
 	holder          *simNode
 	session         uint64
 	steps           map[string]time.Duration
-	answerable      bool // some proxy may answer it
-	holderRedirects int  // ways over the cut-off holder while a proxy might answer
+	answerable      bool // a proxy may answer it
+	holderRedirects int  // redirects to the unreachable holder while a proxy might answer
 }
 
 const (
@@ -51,57 +52,60 @@
 	firstAnswer     = "answered"
 )
 
-// delayCase forces where time goes between a cut and the first answer of a proxy.
+// delayCase forces a delay at a given step between the start of a partition and the first
+// answer of a proxy.
 type delayCase struct {
 	name       string
-	cuts       []fault           // none: one from 60 s to 120 s
-	unanswered map[writeKind]int // how many first attempts of each key get no answer
-	// executedAfter is when one of them has to be carried out at least, since the last cut.
+	cuts       []fault           // default: one from 60 s to 120 s
+	unanswered map[writeKind]int // number of first attempts per key that get no answer
+	// executedAfter is the minimum time after the start of the last partition at which one
+	// of them must be executed.
 	executedAfter time.Duration
-	// others are kinds of other writes of which the first gets no answer, from the second
-	// on before the delegation is due, of each proxy, or with beforeAck the
-	// acknowledgement, of the holder.
+	// others are kinds of other writes of which the first gets no answer,
+	// starting in the second before the delegation is due, for each proxy, or, with
+	// beforeAck, before the acknowledgement is due, for the holder.
 	others    []writeKind
 	beforeAck bool
-	mute      string // this controller's delegations are refused
-	inCI      bool   // it is played without -all too
+	mute      string // controller whose delegations are rejected
+	inCI      bool   // run without -all too
 }
 
-// partitionAt returns a cut between the zones.
+// partitionAt returns a network partition between the zones.
 func partitionAt(at, duration time.Duration) fault {
 	return fault{at: at, kind: zonesSeparated, duration: duration}
 }
 
 var delayCases = append([]delayCase{
-	{name: "nothing forced"},
-	{name: "a first delegation", unanswered: map[writeKind]int{delegationWrite: 1}},
-	{name: "b first acknowledgement", unanswered: map[writeKind]int{ackWrite: 1}},
-	{name: "c first delegation and acknowledgement", inCI: true, unanswered: map[writeKind]int{delegationWrite: 1, ackWrite: 1}},
-	{name: "e late delegation after the repeated one", unanswered: map[writeKind]int{delegationWrite: 1}, executedAfter: lateWriteDelay},
-	{name: "e late delegation after the cut", inCI: true, unanswered: map[writeKind]int{delegationWrite: 1}, cuts: []fault{partitionAt(60*sec, 8*sec)}, executedAfter: 9 * sec},
-	{name: "e late acknowledgement after the cut", unanswered: map[writeKind]int{ackWrite: 1}, cuts: []fault{partitionAt(60*sec, 8*sec)}, executedAfter: 9 * sec},
-	{name: "f late removal", inCI: true, unanswered: map[writeKind]int{removalWrite: 1}, cuts: []fault{partitionAt(60*sec, 10*sec), partitionAt(71*sec, 49*sec)}, executedAfter: 2 * sec},
-	{name: "g another proxy may answer", inCI: true, mute: "n2"},
-	{name: "h first two of both", inCI: true, unanswered: map[writeKind]int{delegationWrite: 2, ackWrite: 2}},
+	{name: "no forced order"},
+	{name: "unanswered delegation", unanswered: map[writeKind]int{delegationWrite: 1}},
+	{name: "unanswered acknowledgement", unanswered: map[writeKind]int{ackWrite: 1}},
+	{name: "unanswered delegation and acknowledgement", inCI: true, unanswered: map[writeKind]int{delegationWrite: 1, ackWrite: 1}},
+	{name: "late delegation after the repeated one", unanswered: map[writeKind]int{delegationWrite: 1}, executedAfter: lateWriteDelay},
+	{name: "late delegation after the partition", inCI: true, unanswered: map[writeKind]int{delegationWrite: 1}, cuts: []fault{partitionAt(60*sec, 8*sec)}, executedAfter: 9 * sec},
+	{name: "late acknowledgement after the partition", unanswered: map[writeKind]int{ackWrite: 1}, cuts: []fault{partitionAt(60*sec, 8*sec)}, executedAfter: 9 * sec},
+	{name: "late removal", inCI: true, unanswered: map[writeKind]int{removalWrite: 1}, cuts: []fault{partitionAt(60*sec, 10*sec), partitionAt(71*sec, 49*sec)}, executedAfter: 2 * sec},
+	{name: "another proxy may answer", inCI: true, mute: "n2"},
+	{name: "two unanswered delegations and acknowledgements", inCI: true, unanswered: map[writeKind]int{delegationWrite: 2, ackWrite: 2}},
 }, competingWriteCases()...)
 
-// competingWriteCases are the cases in which another write is in the way.
+// competingWriteCases returns the cases in which another write delays the delegation or
+// the acknowledgement.
 func competingWriteCases() (cases []delayCase) {
 	kinds := []writeKind{jobEndWrite, progressWrite, grantWrite, migrationWrite, staleWrite}
 	for _, kind := range append(kinds, schemaWrite) {
-		cases = append(cases, delayCase{name: fmt.Sprintf("d %s before the delegation", kind), others: []writeKind{kind}},
-			delayCase{name: fmt.Sprintf("d %s before the acknowledgement", kind), others: []writeKind{kind}, beforeAck: true})
+		cases = append(cases, delayCase{name: fmt.Sprintf("%s before the delegation", kind), others: []writeKind{kind}},
+			delayCase{name: fmt.Sprintf("%s before the acknowledgement", kind), others: []writeKind{kind}, beforeAck: true})
 	}
-	cases = append(cases, delayCase{name: "d several before the delegation", others: kinds, inCI: true},
-		delayCase{name: "d several before the acknowledgement", others: kinds, beforeAck: true})
+	cases = append(cases, delayCase{name: "several writes before the delegation", others: kinds, inCI: true},
+		delayCase{name: "several writes before the acknowledgement", others: kinds, beforeAck: true})
 	return cases
 }
 
-// lastPartition returns the cut whose delays are measured.
+// lastPartition returns the partition for which the delays are measured.
 func (c *delayCase) lastPartition() fault { return c.cuts[len(c.cuts)-1] }
 
-// play plays the case with a seed: long jobs run in both zones, and short ones cause
-// the other writes. Nothing is lost by chance.
+// play runs the case with a seed: long jobs run in both zones, and short jobs cause the
+// competing writes. Nothing is lost at random.
 func (c delayCase) play(t *testing.T, seed uint64) *delayOrder {
 	if len(c.cuts) == 0 {
 		c.cuts = []fault{partitionAt(60*sec, 60*sec)}
@@ -109,10 +113,10 @@
 	o := &delayOrder{delayCase: &c, attempts: map[string]int{}, sent: map[string]bool{}, forced: map[writeKind]int{}, inTheWay: map[string]int{}}
 	synctest.Test(t, func(t *testing.T) {
 		o.w = newWorld(seed, nil)
-		isCrowded := len(c.others) == 1 && c.others[0] == migrationWrite // jobs migrate where room is short
+		isCrowded := len(c.others) == 1 && c.others[0] == migrationWrite // jobs migrate only where room is scarce
 		if !isCrowded {
 			o.w.allowMachines(24)
-			o.w.fillMachines = 1 // several shards get jobs
+			o.w.fillMachines = 1 // so that several shards get jobs
 		}
 		o.w.linkLoss, o.w.txnFailureRate, o.w.script = linkLoss{}, 0, c.cuts
 		longJobs, shortJobs := 24, 0
@@ -143,7 +147,7 @@
 	return o
 }
 
-// setSchema writes a schema version into the store before the controllers start.
+// setSchema writes a schema version to the store before the controllers start.
 func (w *world) setSchema(t *testing.T, version int) {
 	body, err := json.Marshal(protocol.Txn{Preconditions: []protocol.Precondition{}, Writes: []protocol.Write{{Put: storage.SchemaVersionKey, Value: storage.SchemaVersion{Version: version}}}})
 	if err != nil {
@@ -154,7 +158,7 @@
 	}
 }
 
-// isOrderReached reports whether the forced order has taken place.
+// isOrderReached reports whether the forced order of events has occurred.
 func (o *delayOrder) isOrderReached() bool {
 	for kind, count := range o.unanswered {
 		if o.forced[kind] < count {
@@ -167,8 +171,8 @@
 		mostInTheWay >= min(len(o.others), 2) && (o.mute == "" || o.asked > 0)
 }
 
-// recordLeftoverRecords notes, after all cuts and at the end, which delegations and
-// acknowledgements stand.
+// recordLeftoverRecords records which delegations and acknowledgements exist after all
+// partitions and at the end.
 func (o *delayOrder) recordLeftoverRecords() {
 	for _, at := range []time.Duration{lastPartitionEnd + 2*lateWriteDelay, 800 * sec} {
 		time.Sleep(at - time.Since(o.w.startedAt))
@@ -176,13 +180,13 @@
 			_, isDelegation := storage.ParseDelegationKey(key)
 			_, isAck := storage.ParseDelegationAckKey(key)
 			if isDelegation || isAck {
-				o.leftOver = append(o.leftOver, fmt.Sprintf("%s stands at %v", key, at))
+				o.leftOver = append(o.leftOver, fmt.Sprintf("%s exists at %v", key, at))
 			}
 		}
 	}
 }
 
-// checkDelays checks the target for each machine, and logs how the time was spent.
+// checkDelays checks the target for each machine and logs the time of each step.
 func (o *delayOrder) checkDelays(t *testing.T, seed uint64) {
 	for _, m := range o.machines {
 		split := fmt.Sprintf("seed %d: %s in zone %s, shard %d of %s:", seed, m.worker.id, m.worker.rental.Zone, m.shard, m.holder.name)
@@ -195,24 +199,25 @@
 		}
 		t.Log(split)
 		if at, found := m.steps[firstAnswer]; !found || at > maxProxyDelay {
-			t.Errorf("seed %d: %s not answered by a proxy within %v of the cut", seed, m.worker.id, maxProxyDelay)
+			t.Errorf("seed %d: %s not answered by a proxy within %v of the start of the partition", seed, m.worker.id, maxProxyDelay)
 		}
 		if m.holderRedirects > 0 {
-			t.Errorf("seed %d: %s went to its cut-off holder %d times though another proxy might answer", seed, m.worker.id, m.holderRedirects)
+			t.Errorf("seed %d: %s was redirected to its unreachable holder %d times although another proxy could answer", seed, m.worker.id, m.holderRedirects)
 		}
 	}
-	t.Logf("seed %d, times since the cut:\n%s", seed, strings.Join(o.log, "\n"))
+	t.Logf("seed %d, times since the start of the partition:\n%s", seed, strings.Join(o.log, "\n"))
 }
 
-// delaySeeds is how many seeds of a case -all plays at least. CI plays a few cases, each
-// until a seed brings its order about; maxDelaySeeds is how many are tried for that.
+// delaySeeds is the minimum number of seeds that -all runs per case. CI runs a few cases,
+// each until a seed reaches the forced order; maxDelaySeeds is how many seeds are tried
+// for that.
 const (
 	delaySeeds    = 8
 	maxDelaySeeds = 40
 )
 
-// Guards against machines behind a cut that get no answer in time since the writes that
-// delegate them wait for one another, or for the answer to another write.
+// Guards against machines behind a partition that get no answer in time because the writes
+// that delegate them wait for each other, or for the response to another write.
 func TestDelegationDelayOrder(t *testing.T) {
 	for _, c := range delayCases {
 		if !c.inCI && !*all {
@@ -228,16 +233,16 @@
 					t.Errorf("seed %d: %s", seed, lost)
 				}
 				if len(o.leftOver) > 0 {
-					t.Errorf("seed %d: nobody wants them, but %s", seed, strings.Join(o.leftOver, ", "))
+					t.Errorf("seed %d: leftover records: %s", seed, strings.Join(o.leftOver, ", "))
 				}
 				if o.isOrderReached() {
 					proven++
 				}
-				t.Logf("seed %d: brought about: %v", seed, o.isOrderReached())
+				t.Logf("seed %d: forced order reached: %v", seed, o.isOrderReached())
 				o.checkDelays(t, seed)
 			}
 			if proven == 0 {
-				t.Errorf("none of %d seeds brought the order about", maxDelaySeeds)
+				t.Errorf("none of %d seeds reached the forced order", maxDelaySeeds)
 			}
 		})
 	}
--- a/internal/coordination/delegation_fences.go
+++ b/internal/coordination/delegation_fences.go
@@ -12,30 +12,29 @@
 	"reedtrack/internal/storage"
 )
 
-// A direct start without an answer may arrive at any later time, so its machine
-// can't be acknowledged as it is. The holder fences the start off: with the
-// acknowledgement the machine gets a newer fencing token, and the proxy answers
-// with that. From the first such answer on the worker refuses the start, like a
-// command of a former holder.
+// A direct start without an answer may arrive at any later time, so its machine can't be
+// acknowledged as it is. The holder fences off the start: the acknowledgement assigns the
+// machine a newer fencing token, which the proxy includes in its answers. After the first
+// such answer the worker rejects the start, like a command of a former holder.
 
 const (
-	// fenceOverhead bounds what a fence takes in a record beside the names in
-	// it, in bytes.
+	// fenceOverhead is an upper bound on the encoded size of a fence without names and
+	// starts, in bytes.
 	fenceOverhead = 48
-	// fencedStartOverhead bounds what one of its starts takes beside the task's
-	// name, in bytes.
+	// fencedStartOverhead is an upper bound on the encoded size of a fenced start without
+	// the task name, in bytes.
 	fencedStartOverhead = 40
 )
 
-// fenceBuilder adds fences to an acknowledgement, within the size of a record.
+// fenceBuilder adds fences to an acknowledgement, within the size limit of a record.
 type fenceBuilder struct {
 	shard     *shard
 	ack       *storage.DelegationAck
 	freeBytes int
 }
 
-// newFenceBuilder returns a builder for an acknowledgement that lists what needs
-// no new fence.
+// newFenceBuilder returns a builder for an acknowledgement that already lists the machines
+// that need no new fence.
 func newFenceBuilder(s *shard, ack *storage.DelegationAck, maxBytes int) *fenceBuilder {
 	builder := &fenceBuilder{shard: s, ack: ack, freeBytes: maxBytes - delegationOverhead}
 	for _, name := range ack.Machines {
@@ -47,7 +46,7 @@
 	return builder
 }
 
-// fenceBytes bounds what a fence takes in a record.
+// fenceBytes returns an upper bound on the encoded size of a fence.
 func fenceBytes(fence storage.MachineFence) int {
 	size := fenceOverhead + len(fence.Machine)
 	for _, start := range fence.Starts {
@@ -56,8 +55,8 @@
 	return size
 }
 
-// addExisting adds the fences of acknowledged machines that got them before. A
-// machine whose fence does not fit is left out.
+// addExisting adds the fences that acknowledged machines were assigned earlier. A machine
+// whose fence does not fit into the record is removed from the acknowledgement.
 func (b *fenceBuilder) addExisting() {
 	b.ack.Machines = slices.DeleteFunc(b.ack.Machines, func(name string) bool {
 		m := b.shard.machines[name]
@@ -68,8 +67,8 @@
 	})
 }
 
-// addNew acknowledges the machines among those named to which a start is in
-// flight, with the fence of a new token. It reports whether there are any.
+// addNew acknowledges those of the named machines that have a start in flight, with a
+// fence of the given token. It reports whether it added any.
 func (b *fenceBuilder) addNew(names []string, token uint64) bool {
 	added := false
 	for _, name := range names {
@@ -87,12 +86,11 @@
 	return added
 }
 
-// hasFence reports whether the acknowledgement has a fence of a machine.
 func (b *fenceBuilder) hasFence(name string) bool {
 	return slices.ContainsFunc(b.ack.Fences, func(fence storage.MachineFence) bool { return fence.Machine == name })
 }
 
-// add adds a machine's fence, if it fits.
+// add adds a machine's fence and reports whether it fits into the record.
 func (b *fenceBuilder) add(m *machine, token uint64) bool {
 	fence := storage.MachineFence{Machine: m.lease.Machine, FencingToken: token, Starts: m.unconfirmedStarts()}
 	if fenceBytes(fence) > b.freeBytes {
@@ -104,8 +102,8 @@
 	return true
 }
 
-// unconfirmedStarts lists the attempts whose starts may or may not have been
-// carried out by the machine.
+// unconfirmedStarts returns the attempts whose starts the machine may or may not have
+// executed.
 func (m *machine) unconfirmedStarts() []storage.FencedStart {
 	var starts []storage.FencedStart
 	for key, attempt := range m.attempts {
@@ -117,8 +115,8 @@
 	return starts
 }
 
-// applyFences gives the machines of an own shard the tokens that this holder's
-// acknowledgement has minted for them.
+// applyFences assigns the fencing tokens that this holder's acknowledgement has minted to
+// the machines of its shard.
 func (n *Node) applyFences(change clusterstate.FenceChange) {
 	s := n.shards[change.Shard]
 	if s == nil || change.Acknowledgement.Session != n.session.id || change.Acknowledgement.FencingToken != s.fencingToken {
@@ -132,20 +130,21 @@
 	}
 }
 
-// fenceTokenError is a fence whose token can't have been minted for it.
+// fenceTokenError reports a fence whose token can't have been minted for it.
 type fenceTokenError struct {
 	machine    string
-	token      uint64 // of the fence
+	token      uint64 // token of the fence
 	shardToken uint64
-	lastToken  uint64 // the newest that was minted
+	lastToken  uint64 // newest minted token
 }
 
-// Error names the machine and the tokens.
+// Error returns a message with the machine and the tokens.
 func (e fenceTokenError) Error() string {
 	return fmt.Sprintf("fence of machine %s has token %d, not between the shard's %d and the last %d", e.machine, e.token, e.shardToken, e.lastToken)
 }
 
-// checkFence returns an error for a fence that can't be true.
+// checkFence returns an error if the fence's token is not newer than the shard's, or is
+// newer than the last minted token.
 func (n *Node) checkFence(fence storage.MachineFence, shardToken uint64) error {
 	last := n.records.LastToken.Value.Last
 	if fence.FencingToken <= shardToken || fence.FencingToken > last {
@@ -154,9 +153,9 @@
 	return nil
 }
 
-// addAcknowledged marks the machines of a delegation record that its
-// acknowledgement lists, with their fences. A machine whose fence can't be true
-// stays unacknowledged.
+// addAcknowledged marks the delegated machines that the acknowledgement lists as
+// acknowledged, and sets their fences. A machine with an invalid fence stays
+// unacknowledged.
 func (n *Node) addAcknowledged(delegated map[string]heartbeatproxy.Record, ack storage.DelegationAck) {
 	for _, name := range ack.Machines {
 		if record, ok := delegated[name]; ok {
@@ -179,7 +178,7 @@
 	}
 }
 
-// proxyFence returns a stored fence as the proxy uses it.
+// proxyFence converts a stored fence to the proxy's representation.
 func proxyFence(fence storage.MachineFence) heartbeatproxy.Fence {
 	result := heartbeatproxy.Fence{Token: fence.FencingToken}
 	for _, start := range fence.Starts {
@@ -188,7 +187,7 @@
 	return result
 }
 
-// logFenceError logs an invalid fence, once.
+// logFenceError logs each distinct invalid fence once.
 func (n *Node) logFenceError(err error) {
 	logged := n.heartbeatProxy.loggedFenceErrors
 	if !logged[err.Error()] {
--- a/internal/coordination/delegation_fences_test.go
+++ b/internal/coordination/delegation_fences_test.go
@@ -13,11 +13,11 @@
 	"reedtrack/internal/storage"
 )
 
-// testDelegation is a delegation of the one machine of oneTask.
+// testDelegation is a delegation of the only machine of oneTask.
 var testDelegation = storage.DelegationID{Shard: 0, Controller: "n1"}
 
-// newFencedHolder returns a holder whose direct start to a machine was sent and got no
-// answer, with the delegation of that machine and a schema version in its records.
+// newFencedHolder returns a holder that has sent a direct start to a machine and got no
+// answer, with that machine's delegation and a schema version in its records.
 func newFencedHolder(t *testing.T, schema int) (*Node, *shard, *machine) {
 	t.Helper()
 	now := time.Now()
@@ -36,7 +36,7 @@
 	return n, s, m
 }
 
-// put applies a record to a controller's copy.
+// put applies a record to a controller's replicated records.
 func put(t testing.TB, n *Node, key string, value any, revision uint64) {
 	t.Helper()
 	raw, err := json.Marshal(value)
@@ -48,7 +48,7 @@
 	}
 }
 
-// acknowledgementOf returns the acknowledgement that a transaction writes.
+// acknowledgementOf returns the acknowledgement that the transactions write.
 func acknowledgementOf(txns []protocol.Txn) storage.DelegationAck {
 	for _, txn := range txns {
 		for _, write := range txn.Writes {
@@ -60,15 +60,16 @@
 	return storage.DelegationAck{}
 }
 
-// A machine to which a start is unanswered was left to its holder, which can't reach it
-// (issue 46): it is acknowledged with a newer token, which the holder uses once its
-// records show it. The start is absent once a heartbeat shows that token without it.
+// Guards against a machine with an unanswered start that is left to its unreachable holder
+// (issue 46). The machine is acknowledged with a newer token, which the holder uses once
+// its records show it. A heartbeat with that token that does not list the attempt proves
+// that the start was not executed.
 func TestUnansweredStartIsFenced(t *testing.T) {
 	n, s, m := newFencedHolder(t, storage.SchemaMachineFences)
 	txns := n.acknowledgementTxns()
 	ack := acknowledgementOf(txns)
 	if !slices.Equal(ack.Machines, []string{"a"}) || len(ack.Fences) != 1 || ack.Fences[0].FencingToken != 7 || len(ack.Fences[0].Starts) != 1 {
-		t.Fatalf("acknowledged %+v", ack)
+		t.Fatalf("unexpected acknowledgement %+v", ack)
 	}
 	needsToken := protocol.Precondition{Key: storage.FencingTokenKey, Revision: 11}
 	if len(txns) != 1 || !slices.Contains(txns[0].Preconditions, needsToken) || len(txns[0].Writes) != 2 {
@@ -93,7 +94,7 @@
 	}
 }
 
-// Another proxy's delegation of the same machine is acknowledged with the same fence.
+// A second proxy's delegation of the same machine is acknowledged with the same fence.
 func TestFenceIsSharedByProxies(t *testing.T) {
 	n, _, m := newFencedHolder(t, storage.SchemaMachineFences)
 	m.fenceToken = 7
@@ -103,8 +104,8 @@
 	}
 }
 
-// Before every controller has left its mark nothing new is written: the machine is left
-// out, as before.
+// No fence is written before the schema version allows it: the machine is not
+// acknowledged.
 func TestNoFenceBeforeSchemaVersion(t *testing.T) {
 	n, _, _ := newFencedHolder(t, storage.SchemaMachineFences-1)
 	txns := n.acknowledgementTxns()
@@ -113,7 +114,7 @@
 	}
 }
 
-// A fence that does not fit into the record leaves its machine to the holder.
+// A machine whose fence does not fit into the record is not acknowledged.
 func TestTooLargeFenceIsLeftOut(t *testing.T) {
 	n, s, m := newFencedHolder(t, storage.SchemaMachineFences)
 	ack := storage.DelegationAck{}
@@ -126,7 +127,7 @@
 	}
 }
 
-// A proxy takes a fence's token and starts from the acknowledgement. One whose token
+// A proxy reads a fence's token and starts from the acknowledgement. A fence whose token
 // can't have been minted for it leaves the machine unacknowledged, and is logged once.
 func TestInvalidFenceIsNotAcknowledged(t *testing.T) {
 	for token, valid := range map[uint64]bool{1: false, 2: true, 6: true, 7: false} {
@@ -146,8 +147,8 @@
 	}
 }
 
-// A start may reach the worker after the heartbeat that a proxy answers: the answer
-// stops it if its job has ended, and not if the job is live or its record unreadable.
+// A start may reach the worker after the heartbeat that a proxy answers. The answer stops
+// it if its job has ended, but not if the job is live or its record unreadable.
 func TestProxyStopsFencedStartsOfEndedJobs(t *testing.T) {
 	n, _, _ := newFencedHolder(t, storage.SchemaMachineFences)
 	n.records.UnreadableJobs["wk-3"] = true
@@ -164,9 +165,9 @@
 	}
 }
 
-// A cut while a hundred of a thousand machines have an unanswered start: all are
-// acknowledged within so many turns of the writing loop as there are records, each write
-// within the store's limits.
+// After a partition in which 100 of 1000 machines have an unanswered start, all machines
+// are acknowledged within as many iterations of the writing loop as there are records, and
+// each write is within the store's limits.
 func TestManyMachinesAreFencedAtOnce(t *testing.T) {
 	const machines, unanswered = 1000, 100
 	n, s, _ := newFencedHolder(t, storage.SchemaMachineFences)
--- a/internal/coordination/delegation_writes.go
+++ b/internal/coordination/delegation_writes.go
@@ -12,36 +12,37 @@
 	"reedtrack/internal/storage"
 )
 
-// A worker whose holder can't be reached is not answered before its delegation and then
-// the acknowledgement are written, while its lease runs out. So these writes wait neither
-// for the answers to others nor for one another, and one that is not answered is sent again
-// on the same preconditions long before it is given up: whichever copy is carried out first
+// A worker whose holder is unreachable gets no answer until its delegation and then the
+// acknowledgement are written, while its lease is running out. These writes therefore wait
+// neither for responses to other writes nor for each other. An unanswered write is resent
+// with the same preconditions long before it times out: the first copy to be executed
 // makes the others fail. docs/safety.md has the argument.
 
 const (
-	// delegationRepeatInterval is how long a write may go without an answer before it
-	// is sent again, if the write budget has room beside other writes.
+	// delegationRepeatInterval is the time after which an unanswered write is resent, if
+	// the write budget has room beside other writes.
 	delegationRepeatInterval = storage.HedgeInterval
-	// maxQuickRepeats is how often a write is sent again so soon.
+	// maxQuickRepeats is the maximum number of copies that are sent at
+	// delegationRepeatInterval.
 	maxQuickRepeats = 8
-	// delegationRetryInterval is the time between two copies otherwise.
+	// delegationRetryInterval is the time between two copies in all other cases.
 	delegationRetryInterval = 2 * time.Second
 )
 
-// sentTxns are the transactions of delegations and acknowledgements that were sent a
-// short time ago, by the first key that each of them writes.
+// sentTxns holds the recently sent transactions of delegations and acknowledgements, by
+// the first key that each of them writes.
 type sentTxns map[string]*sentTxn
 
-// sentTxn is what is known of the copies of a transaction.
+// sentTxn is the state of the copies of a transaction.
 type sentTxn struct {
 	preconditions []protocol.Precondition
 	lastSentAt    time.Time
-	repeats       int    // copies that were sent after the first
-	revision      uint64 // at which one was carried out; 0: none is known to be
+	repeats       int    // copies sent after the first
+	revision      uint64 // revision at which a copy was executed; 0: not known to be executed
 }
 
-// nextSendTime returns when the transaction may be sent again. hasBudget tells whether there is
-// room for it beside other writes.
+// nextSendTime returns when the transaction may be resent. hasBudget tells whether the
+// write budget has room for it beside other writes.
 func (s *sentTxn) nextSendTime(hasBudget bool) time.Time {
 	if hasBudget && s.repeats < maxQuickRepeats && s.revision == 0 {
 		return s.lastSentAt.Add(delegationRepeatInterval)
@@ -49,10 +50,10 @@
 	return s.lastSentAt.Add(delegationRetryInterval)
 }
 
-// begin records that a transaction is sent now, and returns what is known of its copies.
-// It returns nil if the transaction has to wait: a copy was sent a short time ago, or is
-// known to be carried out and not shown yet by the copy of the records. budget is how many
-// writes there is room for beside others.
+// begin records that a transaction is sent now, and returns the state of its copies. It
+// returns nil if the transaction has to wait, because a copy was sent recently or is known
+// to be executed but not yet visible in the replicated records. budget is the number of
+// writes available beside other writes.
 func (s sentTxns) begin(txn protocol.Txn, budget int, now time.Time) *sentTxn {
 	sent := s[firstKey(txn)]
 	if sent == nil || !slices.Equal(sent.preconditions, txn.Preconditions) {
@@ -68,24 +69,23 @@
 	return sent
 }
 
-// evictOld forgets the transactions that have not been sent for a while.
+// evictOld removes the transactions that have not been sent recently.
 func (s sentTxns) evictOld(now time.Time) {
 	maps.DeleteFunc(s, func(_ string, sent *sentTxn) bool {
 		return now.Sub(sent.lastSentAt) > 2*delegationRetryInterval
 	})
 }
 
-// dueDelegationTxn is a transaction that is to be sent, with what is known of its copies.
+// dueDelegationTxn is a transaction that is due to be sent, with the state of its copies.
 type dueDelegationTxn struct {
 	protocol.Txn
 	sent *sentTxn
 }
 
-// firstKey returns the first key that a transaction writes.
 func firstKey(txn protocol.Txn) string { return txn.Writes[0].Put + txn.Writes[0].Delete }
 
-// delegationLoop writes the delegations of this controller as a proxy and its
-// acknowledgements as a holder, all side by side.
+// delegationLoop writes this controller's delegations as a proxy and its acknowledgements
+// as a holder, all concurrently.
 func (n *Node) delegationLoop(ctx context.Context) {
 	var sending sync.WaitGroup
 	defer sending.Wait()
@@ -99,8 +99,8 @@
 	wakeableLoop(n.wake.delegations, tick)(ctx)
 }
 
-// dueDelegationTxns returns the transactions of both sides that are to be sent now, and how
-// long it had the processor.
+// dueDelegationTxns returns the transactions of both the proxy and the holder side that
+// are due now, and how long it took to compute them.
 func (n *Node) dueDelegationTxns() (due []dueDelegationTxn, took time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -121,8 +121,8 @@
 	return due, time.Since(start)
 }
 
-// sendDelegationTxn sends one copy of a transaction. What fails is sent again as the
-// records then show it.
+// sendDelegationTxn sends one copy of a transaction. A failed transaction is rebuilt from
+// the then current records and sent again.
 func (n *Node) sendDelegationTxn(ctx context.Context, due dueDelegationTxn) {
 	repeat := time.AfterFunc(delegationRepeatInterval, func() { signal(n.wake.delegations) })
 	revision, err := n.store.TxnForWorkerLease(ctx, due.Txn)
--- a/internal/coordination/delegation_writes_test.go
+++ b/internal/coordination/delegation_writes_test.go
@@ -10,8 +10,8 @@
 	"reedtrack/internal/storage"
 )
 
-// newProxyNode returns a controller in zone b that a machine of shard 0 may be delegated to;
-// the shard's holder is out of reach.
+// newProxyNode returns a controller in zone b to which a machine of shard 0 may be
+// delegated; the shard's holder is unreachable.
 func newProxyNode(t testing.TB) *Node {
 	t.Helper()
 	settings := *newWorld(1, nil).settings
@@ -28,8 +28,9 @@
 	return n
 }
 
-// Guards against a delegation that stands for good, with its machines never taken for lost:
-// a write without an answer was carried out after the cut was over and forgotten.
+// Guards against a delegation that is never deleted, so that its machines never expire: an
+// unanswered write was executed after the partition had ended and the proxy had discarded
+// its state.
 func TestLateDelegationIsRemoved(t *testing.T) {
 	n := newProxyNode(t)
 	n.heartbeatProxy.lastReached["n0"] = time.Now()
@@ -42,8 +43,8 @@
 	}
 }
 
-// Guards against a proxy that answers in a new session from what the old one had: the
-// holder may have taken the machine for lost between the two.
+// Guards against a proxy that answers in a new session based on the delegations of the old
+// one: the holder may have expired the machine between the two.
 func TestNewSessionDropsDelegations(t *testing.T) {
 	n := newProxyNode(t)
 	n.refresh()
@@ -61,8 +62,8 @@
 	}
 }
 
-// A copy of an acknowledgement that comes late must fail: it names the revisions of the
-// shard, of the delegation and of the acknowledgement.
+// A late copy of an acknowledgement must fail: it is conditional on the revisions of the
+// shard, the delegation and the acknowledgement.
 func TestAcknowledgementPreconditions(t *testing.T) {
 	n, s, _ := newFencedHolder(t, storage.SchemaMachineFences)
 	s.revision = 8
@@ -77,8 +78,8 @@
 	}
 }
 
-// Guards against a write that is never sent again since other writes use the budget up, and
-// against one that is sent too often.
+// Guards against a write that is never resent because other writes exhaust the budget, and
+// against one that is resent too often.
 func TestUnansweredDelegationIsSentAgain(t *testing.T) {
 	txn := protocol.Txn{Preconditions: []protocol.Precondition{{Key: "k", Revision: 1}}, Writes: []protocol.Write{{Put: "k"}}}
 	for name, c := range map[string]struct {
--- a/internal/coordination/delegations.go
+++ b/internal/coordination/delegations.go
@@ -13,25 +13,26 @@
 	"reedtrack/internal/transport"
 )
 
-// Delegations are what a controller writes as a heartbeat proxy: the machines
-// of another holder's shard that it wants to answer. The holder's side is in
-// delegation_acks.go, the answers are in heartbeat_proxy.go.
+// A heartbeat proxy writes delegations, which list the machines of another holder's shard
+// that it wants to answer. The holder's side is in delegation_acks.go, the answers are in
+// heartbeat_proxy.go.
 
 const (
-	// machineNameOverhead is what a machine name takes in a record beside its
-	// letters, in bytes: two quotes and a comma.
+	// machineNameOverhead is the encoded size of a machine name in a record without its
+	// characters, in bytes: two quotes and a comma.
 	machineNameOverhead = 3
-	// delegationOverhead bounds a delegation record without machine names, in
-	// bytes.
+	// delegationOverhead is an upper bound on the size of a delegation record without
+	// machine names, in bytes.
 	delegationOverhead = 128
-	// delegationSizeDivisor leaves room in the acknowledgement of a record: it lists the
-	// same machines, and beside them the fences.
+	// delegationSizeDivisor limits a delegation record to a fraction of the maximum value
+	// size. The acknowledgement lists the same machines and additionally their fences, so
+	// it needs more space.
 	delegationSizeDivisor = 2
 )
 
-// updateDelegations opens a delegation for each shard whose holder this
-// controller can't reach though the holder's lease is valid, and closes those
-// that are no longer needed.
+// updateDelegations activates a delegation for each shard whose holder this controller
+// can't reach although the holder's session is open, and deactivates those that are no
+// longer needed.
 func (n *Node) updateDelegations(now time.Time) {
 	if !n.records.HeartbeatProxiesEnabled() || n.settings.Location == "" {
 		return
@@ -41,7 +42,7 @@
 		unreachable := n.isHolderUnreachable(i, now)
 		delegation := proxy.delegations[i]
 		if delegation == nil && !unreachable && len(n.ownDelegationRecords(i)) == 0 {
-			continue // a record that a late write has left is removed
+			continue // records left behind by a late write still need to be deleted
 		}
 		if delegation == nil {
 			delegation = heartbeatproxy.New(proxy.timing)
@@ -59,8 +60,9 @@
 	}
 }
 
-// observeDelegation tells a delegation what the records show, which it returns. Heartbeats
-// that wait are woken if this controller may answer for more machines.
+// observeDelegation updates a delegation from the records and returns the delegated
+// machines that they show. Waiting heartbeats are woken if this controller may now answer
+// for more machines.
 func (n *Node) observeDelegation(shardIndex int, now time.Time) map[string]heartbeatproxy.Record {
 	delegated := n.ownDelegatedMachines(shardIndex)
 	delays := n.heartbeatProxy.delegations[shardIndex].ObserveRecords(delegated, now)
@@ -89,8 +91,7 @@
 	return n.shards[shardIndex] == nil && up && key.Value.Session == holder.Session && n.peers[holder.Name] != nil
 }
 
-// logProxyChange logs when this controller begins and ceases to answer for a
-// shard's holder.
+// logProxyChange logs when this controller starts or stops answering for a shard's holder.
 func (n *Node) logProxyChange(shardIndex int, delegation *heartbeatproxy.Delegation) {
 	count := delegation.CountAnswerable()
 	answering := count > 0
@@ -102,7 +103,7 @@
 	slog.Info("heartbeat proxy changed", "shard", shardIndex, "holder", holder.Name, "machine_count", count, "answering", answering)
 }
 
-// machinesInOwnZone lists a shard's machines in this controller's zone.
+// machinesInOwnZone returns a shard's machines in this controller's zone.
 func (n *Node) machinesInOwnZone(shardIndex int) []string {
 	var names []string
 	for _, lease := range n.records.Grants[shardIndex].Value.Machines {
@@ -113,8 +114,8 @@
 	return names
 }
 
-// ownDelegatedMachines returns the machines of a shard that are delegated to this
-// session under the shard's present fencing token.
+// ownDelegatedMachines returns the machines of a shard that are delegated to this session
+// under the shard's current fencing token.
 func (n *Node) ownDelegatedMachines(shardIndex int) map[string]heartbeatproxy.Record {
 	delegated := map[string]heartbeatproxy.Record{}
 	shardLease := n.records.Shards[shardIndex].Value
@@ -137,16 +138,16 @@
 	return delegated
 }
 
-// isCurrentAcknowledgement reports whether an acknowledgement is the present holder's, and
-// of the delegation as of the given revision.
+// isCurrentAcknowledgement reports whether an acknowledgement was written by the shard's
+// current holder for the given revision of the delegation.
 func isCurrentAcknowledgement(ack storage.DelegationAck, delegationRevision uint64, shardLease storage.ShardLease) bool {
 	return ack.DelegationRevision == delegationRevision &&
 		ack.FencingToken == shardLease.FencingToken &&
 		ack.Session == shardLease.Holder.Session
 }
 
-// delegationTxns returns the writes that bring this controller's delegation
-// records up to date.
+// delegationTxns returns the transactions that bring this controller's delegation records
+// up to date.
 func (n *Node) delegationTxns(now time.Time) []protocol.Txn {
 	var txns []protocol.Txn
 	proxy := &n.heartbeatProxy
@@ -168,7 +169,7 @@
 	return txns
 }
 
-// filterGranted leaves out machines that no longer belong to the shard.
+// filterGranted removes the machines that no longer belong to the shard.
 func (n *Node) filterGranted(shardIndex int, names []string) []string {
 	return slices.DeleteFunc(names, func(m string) bool {
 		shard, granted := n.records.ShardOfMachine[m]
@@ -176,8 +177,8 @@
 	})
 }
 
-// ownDelegationRecords returns this controller's delegation records of a shard,
-// of whatever session, by their numbers.
+// ownDelegationRecords returns this controller's delegation records of a shard from all
+// its sessions, by record number.
 func (n *Node) ownDelegationRecords(shardIndex int) map[int]clusterstate.Entry[storage.Delegation] {
 	own := map[int]clusterstate.Entry[storage.Delegation]{}
 	for id, record := range n.records.Delegations {
@@ -188,16 +189,16 @@
 	return own
 }
 
-// delegationTxn writes the delegated machines into as many records as they
-// need, conditional on the revisions of the records and of the shard, and
-// deletes those that are left over. What exceeds a transaction is left to the
-// next one.
+// delegationTxn returns the transaction that writes the delegated machines into as many
+// records as they need, conditional on the revisions of these records and of the shard,
+// and deletes surplus records. Writes beyond the size limit of a transaction are left to
+// the next one.
 func (n *Node) delegationTxn(shardIndex int, names []string, existing map[int]clusterstate.Entry[storage.Delegation]) protocol.Txn {
 	limits := n.storeLimits()
 	shard := n.records.Shards[shardIndex]
 	txn := protocol.Txn{Preconditions: []protocol.Precondition{{Key: storage.ShardKey(shardIndex), Revision: shard.Revision}}}
-	// requireUnchanged adds the precondition for a write of one of the records,
-	// and returns its key.
+	// requireUnchanged adds the precondition that a record is unchanged, and returns the
+	// record's key.
 	requireUnchanged := func(record int) string {
 		key := storage.DelegationKey(storage.DelegationID{Shard: shardIndex, Controller: n.settings.HostName, Record: record})
 		txn.Preconditions = append(txn.Preconditions, protocol.Precondition{Key: key, Revision: existing[record].Revision})
@@ -221,8 +222,8 @@
 	return txn
 }
 
-// countFitting returns how many of the names, from the first, fit into one
-// delegation record.
+// countFitting returns how many of the names, starting with the first, fit into a record
+// of maxBytes.
 func countFitting(names []string, maxBytes int) int {
 	count, bytes := 0, delegationOverhead
 	for count < len(names) && bytes+len(names[count])+machineNameOverhead <= maxBytes {
--- a/internal/coordination/failure_detection.go
+++ b/internal/coordination/failure_detection.go
@@ -7,47 +7,45 @@
 	"reedtrack/internal/failuredetector"
 )
 
-// failureDetector decides what the silence of workers means: which machines are
-// suspect, which zones are unreachable, and whether this controller is itself
-// isolated.
+// failureDetector derives from missing heartbeats which machines are suspect, which zones
+// are unreachable, and whether this controller is itself isolated.
 type failureDetector struct {
 	timing           failuredetector.Timing
 	isolation        *failuredetector.IsolationDetector
-	zoneIndex        nameIndex // numbers of the zones, from 1
-	listeningSince   time.Time // heartbeats could be received since then: the lease was held, and the process not paused
-	checkedAt        time.Time // when failures were last detected
+	zoneIndex        nameIndex // zone numbers, starting at 1
+	listeningSince   time.Time // since when heartbeats could be received without interruption: the lease was held, and the process was not paused
+	checkedAt        time.Time // time of the last call to detectFailures
 	unreachableZones map[string]bool
-	observations     []failuredetector.Machine // reused between calls
+	observations     []failuredetector.Machine // reused between calls to avoid allocations
 	observedMachines []*machine
 }
 
-// newFailureDetector returns a detector for workers that send a heartbeat per
-// interval.
+// newFailureDetector returns a detector for workers that send one heartbeat per interval.
 func newFailureDetector(heartbeatInterval time.Duration) failureDetector {
 	timing := failuredetector.Timing{HeartbeatInterval: heartbeatInterval}
 	return failureDetector{
 		timing:           timing,
 		isolation:        failuredetector.NewIsolationDetector(timing),
-		zoneIndex:        nameIndex{"": 0}, // 0: a machine whose zone has no number yet
+		zoneIndex:        nameIndex{"": 0}, // 0: machine whose zone has no number yet
 		unreachableZones: map[string]bool{},
 	}
 }
 
-// pause records that this controller does not hold its lease: workers are sent
-// elsewhere, and their silence meanwhile means nothing.
+// pause records that this controller does not hold its lease. Workers are redirected
+// meanwhile, so their silence is not evaluated.
 func (d *failureDetector) pause() {
 	d.isolation.Pause()
 	d.listeningSince = time.Time{}
 }
 
-// pauseThreshold is the time between two checks from which on the process must
-// have been paused or starved of processor time: plans are made at least every
-// 0.75 s (loopPeriod and maxLoopPause), and this is twice that. Heartbeats sent
-// meanwhile wait in its sockets.
+// pauseThreshold is the time between two checks above which the process must have been
+// paused or starved of CPU time. Planning runs at least every 0.75 s (loopPeriod and
+// maxLoopPause); the threshold is twice that. Heartbeats sent during the pause are still
+// queued in the process's sockets.
 const pauseThreshold = 2 * (loopPeriod + maxLoopPause)
 
-// detectFailures evaluates all machines of this controller's shards together,
-// and notes which are healthy and which zones are unreachable.
+// detectFailures evaluates all machines of this controller's shards together, and records
+// each machine's health and which zones are unreachable.
 func (n *Node) detectFailures(input *planInput, now time.Time) {
 	detector := &n.failureDetector
 	if detector.listeningSince.IsZero() || now.Sub(detector.checkedAt) > pauseThreshold {
@@ -74,8 +72,9 @@
 	input.unreachableZones, input.isolated = detector.unreachableZones, verdict.Inconclusive
 }
 
-// observe adds a machine to those that are evaluated, unless nothing can follow
-// from its silence: the cloud has removed it, or it has never reported here.
+// observe adds a machine to the evaluated ones. It skips machines whose silence has no
+// meaning: those that the cloud has removed or that have never reported to this
+// controller.
 func (d *failureDetector) observe(m *machine, now time.Time) {
 	if m.removed || !m.hasReported() && !m.isExpired() {
 		return
@@ -91,9 +90,9 @@
 	d.observations = append(d.observations, failuredetector.Machine{Zone: m.zoneIndex, Silence: now.Sub(lastHeartbeat), Expired: m.isExpired()})
 }
 
-// stepDownIfIsolated gives up this controller's session if no worker reaches it
-// any more while another controller could serve them: otherwise the workers'
-// leases would expire and they would drop all that they run.
+// stepDownIfIsolated ends this controller's session if no worker can reach it while
+// another controller could serve the workers. Otherwise the workers' leases would expire
+// and they would drop all their tasks.
 func (n *Node) stepDownIfIsolated(now time.Time) bool {
 	detector := &n.failureDetector
 	if n.session.own.IsUnanswered(now) {
@@ -125,18 +124,18 @@
 type reportingCounts struct {
 	reporting     int
 	neverReported int
-	overdue       int // of neverReported, those that should have by now
-	delegated     int // of all, those that a heartbeat proxy hears instead
-	expected      int // of all others, those that should report here
+	overdue       int // subset of neverReported that should have reported by now
+	delegated     int // machines that report to a heartbeat proxy instead
+	expected      int // machines that are not delegated and should report here
 }
 
-// countReporting counts the machines of all shards that the cloud has not
+// countReporting counts the machines of all shards, except those that the cloud has
 // removed.
 func (n *Node) countReporting(now time.Time) reportingCounts {
 	var counts reportingCounts
-	patience := n.failureDetector.timing.SuspectAfter()
+	gracePeriod := n.failureDetector.timing.SuspectAfter()
 	for _, s := range n.shards {
-		settled := now.Sub(s.acquiredAt) > patience
+		isOverdue := now.Sub(s.acquiredAt) > gracePeriod
 		for _, m := range s.machines {
 			if m.removed {
 				continue
@@ -144,7 +143,7 @@
 			switch {
 			case m.hasReported():
 				counts.reporting++
-			case settled:
+			case isOverdue:
 				counts.neverReported++
 				counts.overdue++
 			default:
@@ -153,7 +152,7 @@
 			switch {
 			case n.records.DelegatedMachines[s.index][m.lease.Machine]:
 				counts.delegated++
-			case m.hasReported() || now.Sub(m.grantedAt) > patience:
+			case m.hasReported() || now.Sub(m.grantedAt) > gracePeriod:
 				counts.expected++
 			}
 		}
@@ -161,10 +160,10 @@
 	return counts
 }
 
-// tasksOnReclaimedMachines lists the tasks that will have to start again
-// because the cloud reclaims their machine before they can end. What fits on
-// present machines is left out: for the rest, machines are requested while they
-// can still boot during the notice.
+// tasksOnReclaimedMachines returns the tasks that will have to be restarted because the
+// cloud reclaims their machine before they can finish. Tasks that fit on existing machines
+// are excluded. For the rest, machines are requested early enough to boot during the
+// reclaim notice.
 func (s *shard) tasksOnReclaimedMachines(machines []*machine, now time.Time) []unplacedTasks {
 	var unplaced []unplacedTasks
 	indexOf := map[*job]int{}
--- a/internal/coordination/failure_detection_test.go
+++ b/internal/coordination/failure_detection_test.go
@@ -13,8 +13,8 @@
 	"reedtrack/internal/storage"
 )
 
-// startSteadyLoad starts a world and one long job, waits until its tasks run,
-// and returns the controller that holds most of them.
+// startSteadyLoad starts a world and one long job, waits until its tasks run, and returns
+// the index of the controller that holds most of them.
 func (w *world) startSteadyLoad(controllers, tasks int) (holder int) {
 	for i := range controllers {
 		w.nodes = append(w.nodes, &simNode{name: fmt.Sprintf("n%d", i)})
@@ -54,26 +54,25 @@
 	return holder
 }
 
-// A holder that no worker reaches while it has its lease steps down before
-// their leases expire: nothing of what they run is lost, no machine is
-// requested in their place, and the holder is ready again when another has the
-// shard. Without stepping down, and without the other controllers relaying what
-// the holder can't hear, all starts again.
+// A holder that no worker can reach while it holds its lease steps down before the
+// workers' leases expire: no task is lost, no replacement machine is requested, and the
+// holder is ready again when another controller has the shard. Without stepping down, and
+// without heartbeats relayed by the other controllers, all tasks are restarted.
 func TestIsolatedHolderStepsDown(t *testing.T) {
 	for _, c := range []struct {
-		name      string
-		stepsDown bool
-		cutCount  int // how many of three controllers no worker reaches
+		name          string
+		stepsDown     bool
+		isolatedCount int // number of the three controllers that no worker can reach
 	}{
 		{"one of three isolated", true, 1},
 		{"two of three isolated", true, 2},
 		{"without stepping down", false, 1},
 	} {
-		t.Run(c.name, func(t *testing.T) { checkIsolatedHolder(t, c.stepsDown, c.cutCount) })
+		t.Run(c.name, func(t *testing.T) { checkIsolatedHolder(t, c.stepsDown, c.isolatedCount) })
 	}
 }
 
-func checkIsolatedHolder(t *testing.T, stepsDown bool, cutCount int) {
+func checkIsolatedHolder(t *testing.T, stepsDown bool, isolatedCount int) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(3, func(n *Node) {
@@ -86,7 +85,7 @@
 		w.fillMachines = 20
 		i := w.startSteadyLoad(3, 6)
 		w.mu.Lock()
-		for k := range cutCount {
+		for k := range isolatedCount {
 			w.nodes[(i+k)%3].cutFromWorkers = true
 		}
 		startsBefore, machinesBefore, holder := w.startCount, len(w.workers), w.nodes[i].node
@@ -107,13 +106,12 @@
 		holder.mu.Lock()
 		shards, holdsLease := len(holder.shards), holder.holdsLease(holder.now())
 		holder.mu.Unlock()
-		// One may be lost by an answer that never arrived; the world has
-		// such.
+		// One task may be lost through a lost answer, which the simulation produces.
 		if stepsDown && (restarted > 1 || requested > 1 || shards >= shardsBefore || !holdsLease) {
-			t.Errorf("%d isolated: %d tasks started again, %d machines requested, the isolated one holds %d shards and its lease: %v", cutCount, restarted, requested, shards, holdsLease)
+			t.Errorf("%d isolated: %d tasks started again, %d machines requested, the isolated one holds %d shards and its lease: %v", isolatedCount, restarted, requested, shards, holdsLease)
 		}
 		if !stepsDown && restarted < 4 {
-			t.Errorf("without stepping down only %d tasks were lost: the test shows nothing", restarted)
+			t.Errorf("without stepping down only %d tasks were restarted: the test proves nothing", restarted)
 		}
 		for _, violation := range w.violations {
 			t.Error(violation)
@@ -122,9 +120,9 @@
 	})
 }
 
-// newDetectionShard returns a controller with a shard of machines, as many in zone a
-// as in b, that have never reported, the input of its plans, and a function by
-// which machines send their heartbeats.
+// newDetectionShard returns a controller with a shard of machines that have never
+// reported, equally many in zones a and b, the input of its plans, and a function that
+// sends the heartbeats of the named machines.
 func newDetectionShard(machinesPerZone int) (node *Node, s *shard, input *planInput, report func(now time.Time, machines ...string)) {
 	w := newWorld(1, nil)
 	node = New(w.settings, w.settings.Defaults(), storage.NewClientWithTransport(nil, 1, 1, 1), simCloud{w}, nil, nil)
@@ -162,7 +160,7 @@
 	return node, s, input, report
 }
 
-// addPendingJob adds a job none of whose tasks is placed to a shard.
+// addPendingJob adds a job without placed tasks to a shard.
 func addPendingJob(s *shard, id string, tasks int) *job {
 	spec := protocol.Job{ID: id, Team: "red", Type: "array", Tasks: tasks, Cores: 4, MemoryGB: 2, EstimatedSeconds: 30, Spot: true}
 	j := &job{id: id, need: placement.Resources{4, 0, 2}, spec: spec}
@@ -171,8 +169,8 @@
 	return j
 }
 
-// machineNames lists the first machines of a zone, 0 or 1, as newDetectionShard
-// names them.
+// machineNames returns the names of the first machines of a zone, 0 or 1, as assigned by
+// newDetectionShard.
 func machineNames(zone, count int) []string {
 	var names []string
 	for k := range count {
@@ -181,7 +179,7 @@
 	return names
 }
 
-// requestedByZone counts the machines that a shard requests.
+// requestedByZone returns the number of machines that a shard requests, by zone.
 func (s *shard) requestedByZone() map[string]int {
 	zones := map[string]int{}
 	for _, request := range s.scaleOut {
@@ -190,11 +188,10 @@
 	return zones
 }
 
-// A machine that has missed a heartbeat gets no new tasks. While it is merely
-// late no machine is requested for what it has room for; once its zone is
-// unreachable, machines are requested elsewhere, and none in that zone. When no
-// heartbeat arrives at all, tasks are placed as if nobody were silent, and hardly
-// any machine is requested.
+// A machine that has missed a heartbeat gets no new tasks. While it is only late, no
+// machine is requested for tasks that fit on it. Once its zone is unreachable, machines
+// are requested in other zones only. When no heartbeat arrives at all, tasks are placed as
+// if no machine were silent, and hardly any machine is requested.
 func TestPlacementAvoidsSilentMachines(t *testing.T) {
 	a, b := machineNames(0, 5), machineNames(1, 5)
 	for _, c := range []silenceCase{
@@ -208,18 +205,18 @@
 	}
 }
 
-// silenceCase is a shard of ten machines, of which some fall silent before a job
+// silenceCase is a shard of ten machines, some of which become silent before a job
 // arrives.
 type silenceCase struct {
 	name      string
 	silence   time.Duration
-	reporting []string // these machines, while the others are silent
+	reporting []string // machines that keep reporting while the others are silent
 	tasks     int
 
 	// What is expected.
 	placed                     int
 	silent                     int // machines that are not healthy
-	requestedInA, requestedInB int // machines; if isolated, only bounded
+	requestedInA, requestedInB int // machines; only an upper bound if isolated
 	unreachableA               bool
 	isolated                   bool
 }
@@ -261,8 +258,8 @@
 	}
 }
 
-// What was placed on a machine and has not been sent when it falls silent goes
-// elsewhere: tasks waited there until its lease expired.
+// Guards against tasks that wait on a silent machine until its lease expires: tasks that
+// were placed on it but not yet sent are moved to other machines.
 func TestUnsentTasksLeaveSilentMachine(t *testing.T) {
 	a, b := machineNames(0, 2), machineNames(1, 2)
 	node, s, input, report := newDetectionShard(2)
@@ -290,7 +287,7 @@
 		s.plan(input, true, now)
 	}
 	if len(silent.attempts) > 0 || j.pendingTasks() != 0 {
-		t.Errorf("%d tasks wait on a silent machine, %d wait", len(silent.attempts), j.pendingTasks())
+		t.Errorf("%d tasks on a silent machine, %d pending", len(silent.attempts), j.pendingTasks())
 	}
 	report(now, silent.lease.Machine)
 	if !silent.isSchedulable() {
@@ -298,9 +295,9 @@
 	}
 }
 
-// For tasks on machines that are about to be reclaimed, and that can't end
-// before, machines are requested during the notice, unless there is room; no
-// more are requested however often it is planned.
+// For tasks on machines that are about to be reclaimed and that can't finish before,
+// machines are requested during the notice unless there is room. Repeated planning
+// requests no more machines.
 func TestScaleOutDuringReclaimNotice(t *testing.T) {
 	now := time.Now()
 	node, s, input, report := newDetectionShard(2)
@@ -326,7 +323,7 @@
 		}
 		return count
 	}
-	if s.plan(input, true, now); requestCount() != 1 { // one of the two finds room
+	if s.plan(input, true, now); requestCount() != 1 { // one of the two tasks fits on an existing machine
 		t.Fatalf("requested %v", s.scaleOut)
 	}
 	s.booting = s.scaleOut
@@ -341,20 +338,20 @@
 	}
 	s.booting = nil
 	if s.plan(input, true, now); requestCount() != 0 {
-		t.Errorf("requested for what ends before: %v", s.scaleOut)
+		t.Errorf("requested for tasks that end before the reclaim: %v", s.scaleOut)
 	}
 }
 
-// A machine that has just been granted and has not reported to its holder yet
-// is counted on: others were requested in its place. After a while it is not,
-// and it is not released before it ever reported.
+// Guards against requesting machines in place of newly granted ones: a machine that has
+// not reported to its holder yet counts as booting for a limited time, and is not released
+// before its first report.
 func TestGrantedMachineCountsAsBooting(t *testing.T) {
 	now := time.Now()
 	node, s, input, _ := newDetectionShard(2)
 	addPendingJob(s, "wk-000001", 4)
 	node.detectFailures(input, now)
 	if s.plan(input, true, now); len(s.scaleOut) != 0 {
-		t.Errorf("requested beside what was granted: %v", s.scaleOut)
+		t.Errorf("requested in addition to the granted machines: %v", s.scaleOut)
 	}
 	now = now.Add(5 * time.Second)
 	s.scaleIn(input, now, 20*time.Second, func(machineKind) time.Duration { return time.Second })
@@ -365,13 +362,13 @@
 	}
 	now = now.Add(5 * time.Second)
 	if s.plan(input, true, now); len(s.scaleOut) == 0 {
-		t.Error("nothing requested though what was granted stays away")
+		t.Error("nothing requested although the granted machines do not report")
 	}
 }
 
-// A guarantee that is claimed while a zone is unreachable is served by
-// reachable machines: what another team runs there beyond its own guarantee is
-// preempted in time, whatever is idle in the unreachable zone.
+// A guarantee that is claimed while a zone is unreachable is served by reachable machines:
+// another team's tasks beyond its own guarantee are preempted there in time, regardless of
+// idle machines in the unreachable zone.
 func TestGuaranteeWhileZoneIsUnreachable(t *testing.T) {
 	begin := time.Now()
 	node, s, input, report := newDetectionShard(4)
@@ -380,7 +377,7 @@
 	input.teams = map[string]teamQuota{"red": {guarantee: storage.Resources{Cores: 8}}, "blue": {guarantee: storage.Resources{Cores: 16}}}
 	now := begin
 	report(now, append(a, b...)...)
-	for _, m := range b { // red has the machines of b, twice its guarantee
+	for _, m := range b { // red uses the machines of b, twice its guarantee
 		j := addPendingJob(s, "wk-1"+m, 1)
 		j.spec.EstimatedSeconds = 100
 		run := s.place(j, j.takePendingTask(), s.machines[m])
@@ -420,8 +417,8 @@
 	}
 }
 
-// A process that was paused has not listened: heartbeats wait in its sockets,
-// and nothing is placed, taken back or requested because of the silence.
+// After the process was paused, heartbeats are still queued in its sockets, so nothing is
+// placed, taken back or requested because of the silence.
 func TestSilenceIgnoredAfterPause(t *testing.T) {
 	node, s, input, report := newDetectionShard(1)
 	now := time.Now()
--- a/internal/coordination/heartbeat.go
+++ b/internal/coordination/heartbeat.go
@@ -7,59 +7,59 @@
 	"reedtrack/internal/protocol"
 )
 
-// HeartbeatAnswer is the answer to a worker's heartbeat. Only one with status 200
+// HeartbeatAnswer is the answer to a worker's heartbeat. Only an answer with status 200
 // renews the worker's lease. It is also sent between controllers, in a PeerReply.
 type HeartbeatAnswer struct {
 	Status     int                        `cbor:"Status"`               // http.StatusOK, StatusMisdirectedRequest or StatusServiceUnavailable
-	Response   protocol.HeartbeatResponse `cbor:"Response"`             // with http.StatusOK: what the worker is to do
-	RedirectTo string                     `cbor:"RedirectTo,omitempty"` // with http.StatusMisdirectedRequest: the controller to report to; empty: unknown
-	RelayedTo  string                     `cbor:"-"`                    // the holder whose answer this is; empty: this controller's own
+	Response   protocol.HeartbeatResponse `cbor:"Response"`             // set with http.StatusOK: the commands for the worker
+	RedirectTo string                     `cbor:"RedirectTo,omitempty"` // set with http.StatusMisdirectedRequest: the controller to report to; empty: unknown
+	RelayedTo  string                     `cbor:"-"`                    // holder that gave this answer; empty: this controller
 }
 
-// unavailableAnswer is the answer of a controller that can't decide what the
-// worker is to do.
+// unavailableAnswer is the answer of a controller that can't currently decide what the
+// worker should do.
 var unavailableAnswer = HeartbeatAnswer{Status: http.StatusServiceUnavailable}
 
-// Heartbeat answers a worker's heartbeat: as the holder of its shard, as a proxy for
-// a holder that can't be reached, or with the answer of a holder that can. The
-// leader also takes note of machines that belong to no shard yet. All others
-// redirect the worker.
+// Heartbeat answers a worker's heartbeat: as the holder of its shard, as a proxy for an
+// unreachable holder, or by relaying the heartbeat to a reachable holder. The leader also
+// records machines that belong to no shard yet. In all other cases the worker is
+// redirected.
 func (n *Node) Heartbeat(report *protocol.Heartbeat) HeartbeatAnswer {
 	n.recordHeartbeatArrival()
 	deadline := time.Now().Add(maxHeartbeatWait)
 	for isLast := false; ; {
-		answer, better := n.answerNow(report)
-		if better.relay != nil {
-			relayed, err := better.relay.call()
+		answer, alternative := n.answerNow(report)
+		if alternative.relay != nil {
+			relayed, err := alternative.relay.call()
 			if err == nil {
 				return relayed
 			}
-			n.recordFailedRelay(better.relay.holder)
-			answer, better = n.answerNow(report)
+			n.recordFailedRelay(alternative.relay.holder)
+			answer, alternative = n.answerNow(report)
 		}
-		if isLast || better.change == nil {
+		if isLast || alternative.change == nil {
 			return answer
 		}
-		isLast = !n.awaitChange(better.change, deadline)
+		isLast = !n.awaitChange(alternative.change, deadline)
 	}
 }
 
-// recordHeartbeatArrival records that a worker reaches this controller.
+// recordHeartbeatArrival records that this controller is reachable for workers.
 func (n *Node) recordHeartbeatArrival() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.failureDetector.isolation.RecordHeartbeat()
 }
 
-// answerAlternative is where a better answer than a redirect or 503 may come from; at most one
-// of its fields is set.
+// answerAlternative is a possible source of a better answer than a redirect or 503. At
+// most one of its fields is set.
 type answerAlternative struct {
-	relay  *relayCall      // the holder
-	change <-chan struct{} // this controller, once that is closed
+	relay  *relayCall      // relays the heartbeat to the holder
+	change <-chan struct{} // closed when this controller may have a better answer
 }
 
-// answerNow returns this controller's answer to a worker's heartbeat as things stand,
-// and where a better one may come from.
+// answerNow returns this controller's answer to a worker's heartbeat in the current state,
+// and the possible source of a better one.
 func (n *Node) answerNow(report *protocol.Heartbeat) (HeartbeatAnswer, answerAlternative) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -80,8 +80,8 @@
 	return n.redirectToHolder(report, shardIndex, now)
 }
 
-// redirectToHolder redirects a machine to the holder of its shard, or to a controller that
-// may answer in the place of one that does not answer.
+// redirectToHolder redirects a machine to the holder of its shard or, if the holder is
+// unreachable, to a controller that may answer as its proxy.
 func (n *Node) redirectToHolder(report *protocol.Heartbeat, shardIndex int, now time.Time) (HeartbeatAnswer, answerAlternative) {
 	holder := n.records.Shards[shardIndex].Value.Holder.Name
 	isReachable := n.peers[holder] == nil || n.heartbeatProxy.isReachable(holder, now)
@@ -97,8 +97,8 @@
 	return n.redirect(holder), answerAlternative{change: n.acknowledgementChange(report, shardIndex)}
 }
 
-// answerUngranted answers a machine that belongs to no shard. The leader, which
-// is to grant it, learns that it has booted.
+// answerUngranted answers a machine that belongs to no shard. The leader, which will grant
+// it to a shard, records that it has booted.
 func (n *Node) answerUngranted(report *protocol.Heartbeat, now time.Time) HeartbeatAnswer {
 	if n.leadership == nil {
 		return n.redirect(n.records.Leader.Value.Name)
@@ -115,15 +115,15 @@
 		return unavailableAnswer
 	}
 	if s.capacityFreed {
-		// Place tasks at once, so that their starts are part of this answer and
-		// freed capacity does not wait for another heartbeat.
+		// Place tasks immediately, so that this answer contains their starts and the freed
+		// capacity does not stay idle until the next heartbeat.
 		s.fillMachine(m, n.teams)
 	}
 	if s.dirty {
 		n.wakeLoops()
 	}
-	// Check the lease again: decoding the heartbeat may have taken a while, and
-	// on a shared processor the process may be paused at any point.
+	// Check the lease again: decoding the heartbeat may have taken a while, and the
+	// process may be paused at any point when it shares a CPU.
 	if now = n.now(); !n.holdsLease(now) {
 		return unavailableAnswer
 	}
@@ -133,8 +133,8 @@
 	}
 }
 
-// redirect sends the worker to another controller. If that would be this one,
-// it is not named, and the worker tries the next.
+// redirect redirects the worker to the named controller. If that is this controller, the
+// answer names none and the worker tries the next controller.
 func (n *Node) redirect(name string) HeartbeatAnswer {
 	if name == n.settings.HostName {
 		name = ""
--- a/internal/coordination/heartbeat_proxy.go
+++ b/internal/coordination/heartbeat_proxy.go
@@ -8,37 +8,36 @@
 	"reedtrack/internal/protocol"
 )
 
-// heartbeatProxy is the state of answering heartbeats for a holder that can't
-// be reached: the workers in this controller's zone are delegated to it, and
-// their holder acknowledges that. What the proxy and the holder have written to the
-// store is in the copy of the records.
+// heartbeatProxy is the state needed to answer heartbeats for an unreachable holder. The
+// workers in this controller's zone are delegated to it, and their holder acknowledges the
+// delegation. The records that the proxy and the holder have written are in the replicated
+// records.
 type heartbeatProxy struct {
 	delegations       map[int]*heartbeatproxy.Delegation // machines delegated to this controller, by shard
-	lastReached       map[string]time.Time               // when a call to each other controller last succeeded
-	firstCalled       map[string]time.Time               // when the first call to each was due
-	relayFailed       map[string]bool                    // controllers that did not answer a relayed heartbeat since they were last reached
-	loggedAnswering   map[int]bool                       // shards for which it was logged that this controller answers
-	loggedFenceErrors map[string]bool                    // invalid fences that were logged
-	sentTxns          sentTxns                           // writes of delegations and acknowledgements, as both sides
-	changed           chan struct{}                      // closed and replaced when kept heartbeats are to be decided anew
-	waitingHeartbeats int                                // heartbeats that are kept
-	ignoreDelegated   bool                               // set by tests: delegated machines count as silent
-	acknowledgeAlways bool                               // set by tests: the holder acknowledges whatever is in flight
+	lastReached       map[string]time.Time               // time of the last successful call, by controller
+	firstCalled       map[string]time.Time               // time when the first call was due, by controller
+	relayFailed       map[string]bool                    // controllers that failed to answer a relayed heartbeat since they were last reached
+	loggedAnswering   map[int]bool                       // shards for which the log says that this controller answers
+	loggedFenceErrors map[string]bool                    // invalid fences that were already logged
+	sentTxns          sentTxns                           // sent transactions of the proxy and the holder side
+	changed           chan struct{}                      // closed and replaced when waiting heartbeats are to be re-evaluated
+	waitingHeartbeats int                                // number of waiting heartbeats
+	ignoreDelegated   bool                               // set by tests: delegated machines are treated as silent
+	acknowledgeAlways bool                               // set by tests: the holder acknowledges machines regardless of starts in flight
 	timing            heartbeatproxy.Timing
 }
 
 const (
-	// unreachableAfter is the time without a successful call, of two a second
-	// (see statusInterval), after which a controller counts as unreachable. A
-	// single lost call is no reason to write delegations.
+	// unreachableAfter is the time without a successful call, of which there are two per
+	// second (see statusInterval), after which a controller counts as unreachable. A
+	// single lost call does not cause delegations to be written.
 	unreachableAfter = 2 * time.Second
-	// delegationTimeout is how long a machine stays delegated before it reports to
-	// the proxy: a worker tries another controller 5 s after each that it does
-	// not reach.
+	// delegationTimeout is how long a machine stays delegated without having reported to
+	// the proxy. A worker tries the next controller 5 s after each one that it can't
+	// reach.
 	delegationTimeout = 15 * time.Second
 )
 
-// newHeartbeatProxy returns a proxy without delegations.
 func newHeartbeatProxy(t config.Timing) heartbeatProxy {
 	return heartbeatProxy{
 		delegations:       map[int]*heartbeatproxy.Delegation{},
@@ -53,16 +52,17 @@
 	}
 }
 
-// endSession forgets what this controller does as a proxy under a session that is over: its
-// records end with it, and the next session answers for nobody before it has written its own.
+// endSession discards the proxy state of an ended session. The session's records are
+// deleted with it, and the next session answers for no machine until it has written its
+// own.
 func (p *heartbeatProxy) endSession() {
 	clear(p.delegations)
 	clear(p.sentTxns)
 	p.wakeWaitingHeartbeats()
 }
 
-// recordReached records that another controller answered a call. Heartbeats that are kept
-// since it did not answer a relay are decided anew.
+// recordReached records that another controller answered a call. Heartbeats that wait
+// because the controller did not answer a relay are re-evaluated.
 func (p *heartbeatProxy) recordReached(name string, now time.Time) {
 	p.lastReached[name] = now
 	if p.relayFailed[name] {
@@ -71,7 +71,8 @@
 	}
 }
 
-// isReachable reports whether another controller has recently answered a call.
+// isReachable reports whether another controller has recently answered a call. The time
+// before the first call counts as reachable.
 func (p *heartbeatProxy) isReachable(name string, now time.Time) bool {
 	if p.firstCalled[name].IsZero() {
 		p.firstCalled[name] = now
@@ -83,11 +84,11 @@
 	return now.Sub(last) < unreachableAfter
 }
 
-// answerAsProxy answers a heartbeat in place of a holder that can't be
-// reached: it renews the worker's lease and stops tasks of cancelled jobs, and
-// starts nothing. That is safe once the store has the machine's delegation and
-// the holder's acknowledgement: from then on the holder takes the machine's lease
-// for valid, however long it is silent, and sends it nothing directly.
+// answerAsProxy answers a heartbeat on behalf of an unreachable holder: it renews the
+// worker's lease and stops tasks of ended jobs, but starts nothing. This is safe once the
+// store has the machine's delegation and the holder's acknowledgement: from then on the
+// holder treats the machine's lease as valid regardless of its silence, and sends it no
+// direct messages.
 func (n *Node) answerAsProxy(report *protocol.Heartbeat, shardIndex int, now time.Time) (protocol.HeartbeatResponse, bool) {
 	delegation := n.heartbeatProxy.delegations[shardIndex]
 	if delegation == nil || !n.records.HeartbeatProxiesEnabled() || report.Zone != n.settings.Location {
@@ -100,13 +101,13 @@
 		return protocol.HeartbeatResponse{}, false
 	}
 	response := protocol.HeartbeatResponse{FencingToken: token, Commands: n.stopCommandsForEndedJobs(report, fence.Starts)}
-	// Check the lease again, as the holder does.
+	// Check the lease again, as answerAsHolder does.
 	return response, n.holdsLease(n.now())
 }
 
-// stopCommandsForEndedJobs returns commands that stop, without a grace period, what a
-// worker still runs of jobs that have ended, and what direct starts may have
-// started since it sent its heartbeat.
+// stopCommandsForEndedJobs returns commands that stop, without a grace period, the tasks
+// of ended jobs: those that the worker reports, and those that a direct start may have
+// started since the worker sent its heartbeat.
 func (n *Node) stopCommandsForEndedJobs(report *protocol.Heartbeat, starts []heartbeatproxy.Attempt) []protocol.Command {
 	const noGracePeriod = 0
 	stops := []protocol.Command{}
@@ -125,14 +126,14 @@
 	return stops
 }
 
-// hasJobEnded reports whether no live record of a job is known. A job whose record
-// can't be decoded has not ended.
+// hasJobEnded reports whether the records contain no live job with this ID. A job whose
+// record can't be decoded has not ended.
 func (n *Node) hasJobEnded(job string) bool {
 	return n.records.Jobs[job] == nil && !n.records.UnreadableJobs[job]
 }
 
-// machineToken returns the fencing token of a machine of a shard that another
-// controller holds.
+// machineToken returns the fencing token of a machine whose shard is held by another
+// controller.
 func (n *Node) machineToken(shardIndex int, name string) uint64 {
 	token := n.records.Shards[shardIndex].Value.FencingToken
 	for _, lease := range n.records.Grants[shardIndex].Value.Machines {
--- a/internal/coordination/heartbeat_relay.go
+++ b/internal/coordination/heartbeat_relay.go
@@ -10,37 +10,36 @@
 	"reedtrack/internal/transport"
 )
 
-// A worker that got no answer from its holder turns to the next controller. To be
-// sent back costs it one more exchange of a lease that is running out. So that
-// controller relays the heartbeat to the holder, if it reaches it, and returns the
-// holder's answer. To the holder it is a heartbeat that took longer: it is ordered by
-// session and sequence like one that came straight, and the worker drops its answer
-// as late as any other. docs/safety.md has the argument.
+// A worker that gets no answer from its holder tries the next controller. A redirect back
+// to the holder would cost another round trip while its lease is running out. If that
+// controller can reach the holder, it therefore relays the heartbeat and returns the
+// holder's answer. To the holder, a relayed heartbeat is one that took longer: it is
+// ordered by session and sequence number like a direct one, and the worker discards a late
+// answer as usual. docs/safety.md has the argument.
 
 const (
-	// relayTimeout is how long a relay waits for the holder. A worker waits 4 s, and
-	// is to be redirected in time if the holder does not answer.
+	// relayTimeout is how long a relay waits for the holder. A worker waits 4 s for an
+	// answer, and must still get a redirect in time if the holder does not answer.
 	relayTimeout = time.Second
-	// maxRelayedMachines is how many machines are remembered as relayed. Beyond that
+	// maxRelayedMachines is the maximum number of machines in relayedAt. Beyond that,
 	// workers are redirected.
 	maxRelayedMachines = 4096
 )
 
-// heartbeatRelay is the state of relaying heartbeats, and of receiving relayed ones.
+// heartbeatRelay is the state needed to relay heartbeats and to receive relayed ones.
 type heartbeatRelay struct {
-	disabled       bool                  // set by tests: workers are redirected
-	relayedAt      map[string]time.Time  // when a heartbeat of each machine was last relayed
-	evictedAt      time.Time             // when machines were last forgotten
-	loggedRefusals map[relayRefusal]bool // refusals of relayed heartbeats that were logged
+	disabled       bool                  // set by tests: workers are always redirected
+	relayedAt      map[string]time.Time  // time of the last relayed heartbeat, by machine
+	evictedAt      time.Time             // time of the last eviction from relayedAt
+	loggedRefusals map[relayRefusal]bool // refusals that were already logged
 }
 
-// newHeartbeatRelay returns a relay that has relayed nothing.
 func newHeartbeatRelay() heartbeatRelay {
 	return heartbeatRelay{relayedAt: map[string]time.Time{}, loggedRefusals: map[relayRefusal]bool{}}
 }
 
-// begin records that a machine's heartbeat is relayed now. It returns false if one
-// was a short time ago, or too many machines are remembered.
+// begin records that a machine's heartbeat is relayed now. It returns false if one was
+// relayed within the interval, or if the maximum number of machines is reached.
 func (r *heartbeatRelay) begin(machine string, interval time.Duration, now time.Time) bool {
 	if now.Sub(r.evictedAt) >= interval {
 		r.evictBefore(now.Add(-interval))
@@ -56,7 +55,7 @@
 	return true
 }
 
-// evictBefore forgets the machines whose last relayed heartbeat was before a time.
+// evictBefore removes the machines whose last relayed heartbeat is older than limit.
 func (r *heartbeatRelay) evictBefore(limit time.Time) {
 	maps.DeleteFunc(r.relayedAt, func(_ string, at time.Time) bool { return at.Before(limit) })
 }
@@ -69,9 +68,10 @@
 }
 
 // newRelayCall returns the call that relays a heartbeat to the holder, or nil if the
-// worker is to be redirected: the holder is not reachable, the machine's last
-// heartbeat was relayed too, this one is larger than a holder takes, or a processor is
-// short: a worker that gave a busy holder up would cost both a relay more.
+// worker should be redirected. That is the case if the holder is unreachable, the
+// machine's previous heartbeat was relayed too, the heartbeat exceeds the size that a
+// holder accepts, or either controller is short of CPU time. A worker that gave up on a
+// busy holder would cost both controllers an additional relay.
 func (n *Node) newRelayCall(report *protocol.Heartbeat, shardIndex int, now time.Time) *relayCall {
 	holder := n.records.Shards[shardIndex].Value.Holder.Name
 	peer := n.peers[holder]
@@ -81,8 +81,8 @@
 	if len(report.Tasks) > maxRelayedTasks || n.isHolderOverloaded(shardIndex) || n.cpuMeter.utilization > maxUtilization {
 		return nil
 	}
-	// Longer than from one heartbeat to the next: a worker that was answered by a relay
-	// is then sent to its holder.
+	// Longer than the heartbeat interval, so that a worker that was answered by a relay is
+	// redirected to its holder with its next heartbeat.
 	interval := n.failureDetector.timing.SuspectAfter()
 	if !n.heartbeatRelay.begin(report.Machine, interval, now) {
 		return nil
@@ -91,16 +91,16 @@
 	return &relayCall{peer: peer, holder: holder, message: PeerMessage{Heartbeat: relayed}}
 }
 
-// recordFailedRelay records that a holder did not answer a relayed heartbeat. It may be out
-// of reach: until it is reached again, heartbeats are kept for when this controller may
-// answer in its place.
+// recordFailedRelay records that a holder did not answer a relayed heartbeat and may be
+// unreachable. Until it is reached again, heartbeats wait until this controller may answer
+// as its proxy.
 func (n *Node) recordFailedRelay(holder string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.heartbeatProxy.relayFailed[holder] = true
 }
 
-// errNoRelayedAnswer is the error of a reply without an answer to a heartbeat.
+// errNoRelayedAnswer is returned for a reply that contains no answer to a heartbeat.
 var errNoRelayedAnswer = errors.New("reply without an answer to the relayed heartbeat")
 
 // call relays the heartbeat and returns the holder's answer.
--- a/internal/coordination/heartbeat_relay_test.go
+++ b/internal/coordination/heartbeat_relay_test.go
@@ -16,10 +16,10 @@
 	"reedtrack/internal/storage"
 )
 
-// relayPeer delivers messages to a controller as they would be after encoding.
+// relayPeer delivers messages to a controller after encoding and decoding them.
 type relayPeer struct {
 	holder *Node
-	err    error // of each call
+	err    error // returned by each call
 	calls  int
 }
 
@@ -45,8 +45,8 @@
 	return cbor.Unmarshal(raw, out)
 }
 
-// relayPair is a holder of one machine with a task to start, and a controller that is
-// its peer, with clocks of the test.
+// relayPair is a holder of one machine with a task to start, and a controller that is its
+// peer, both with a test clock.
 type relayPair struct {
 	holder  *Node
 	machine *machine
@@ -58,7 +58,7 @@
 // relayTestLease is how long the controllers' leases last in these tests.
 const relayTestLease = time.Hour
 
-// newRelayPair returns both, with the records of a schema version.
+// newRelayPair returns a relayPair whose records have the given schema version.
 func newRelayPair(t *testing.T, schema int) *relayPair {
 	t.Helper()
 	p := &relayPair{now: time.Now()}
@@ -86,12 +86,13 @@
 	return p
 }
 
-// heartbeat returns the machine's heartbeat of a sequence number.
+// heartbeat returns the machine's heartbeat with the given sequence number.
 func (p *relayPair) heartbeat(sequence uint64) *protocol.Heartbeat {
 	return &protocol.Heartbeat{Machine: "a", Address: "a:1", MachineType: "small", Zone: "a", Session: 1, Sequence: sequence, FencingToken: 2}
 }
 
-// pass lets time pass, and says whether the relay reaches the holder at its end.
+// pass advances the clock; reaches tells whether the relay can reach the holder
+// afterwards.
 func (p *relayPair) pass(duration time.Duration, reaches bool) {
 	p.now = p.now.Add(duration)
 	for _, n := range []*Node{p.holder, p.relay} {
@@ -102,7 +103,7 @@
 	}
 }
 
-// checkRedirect checks that an answer sends the worker to the holder.
+// checkRedirect checks that an answer redirects the worker to the holder.
 func checkRedirect(t *testing.T, why string, answer HeartbeatAnswer) {
 	t.Helper()
 	if answer.Status != http.StatusMisdirectedRequest || answer.RedirectTo != "n0" {
@@ -110,8 +111,8 @@
 	}
 }
 
-// Guards against workers that are sent back to their holder, by a controller that
-// reaches it, while their lease runs out.
+// Guards against workers that are redirected to their holder by a controller that can
+// reach it, while their lease is running out.
 func TestHeartbeatIsRelayedToHolder(t *testing.T) {
 	p := newRelayPair(t, storage.SchemaHeartbeatRelays)
 	answer := p.relay.Heartbeat(p.heartbeat(2))
@@ -126,11 +127,12 @@
 	checkRedirect(t, "the next heartbeat", p.relay.Heartbeat(p.heartbeat(3)))
 	p.pass(4*time.Second, true)
 	if answer := p.relay.Heartbeat(p.heartbeat(4)); answer.Status != http.StatusOK {
-		t.Errorf("back after another loss: %+v", answer)
+		t.Errorf("not relayed after the interval: %+v", answer)
 	}
 }
 
-// Guards against a relay that keeps a worker waiting, or sends what a holder may not know.
+// Guards against a relay that delays a worker's answer, or sends a message that the holder
+// may not support.
 func TestHeartbeatIsRedirectedIfRelayFails(t *testing.T) {
 	p := newRelayPair(t, storage.SchemaHeartbeatRelays)
 	p.peer.err = errors.New("link is busy")
@@ -144,13 +146,13 @@
 	p = newRelayPair(t, storage.SchemaHeartbeatRelays-1)
 	checkRedirect(t, "not every controller has run this version", p.relay.Heartbeat(p.heartbeat(2)))
 	if p.peer.calls != 0 {
-		t.Error("a form is sent that the holder may not know")
+		t.Error("a message is sent that the holder may not support")
 	}
 	p = newRelayPair(t, storage.SchemaHeartbeatRelays)
 	large := p.heartbeat(2)
 	large.Tasks = make([]protocol.TaskStatus, maxRelayedTasks+1)
 	if checkRedirect(t, "a large heartbeat", p.relay.Heartbeat(large)); p.peer.calls != 0 {
-		t.Error("what the holder refuses is sent")
+		t.Error("a heartbeat that the holder refuses is sent")
 	}
 }
 
@@ -168,8 +170,8 @@
 	}
 }
 
-// Guards against answers without a right to give them: the holder's lease has passed, or
-// another controller holds the shard.
+// Guards against answers by a controller that must not give them: the holder's lease has
+// expired, or another controller holds the shard.
 func TestRelayedHeartbeatNeedsHolder(t *testing.T) {
 	p := newRelayPair(t, storage.SchemaHeartbeatRelays)
 	p.holder.session.leaseValidUntil = p.now
@@ -184,8 +186,8 @@
 	}
 }
 
-// Guards against late copies by two ways: a heartbeat that a newer one has overtaken
-// changes nothing, and its start is not taken for lost.
+// Guards against late copies over two paths: a heartbeat that arrives after a newer one
+// changes nothing, and its start is not treated as lost.
 func TestOvertakenRelayedHeartbeatChangesNothing(t *testing.T) {
 	p := newRelayPair(t, storage.SchemaHeartbeatRelays)
 	if answer := p.holder.Heartbeat(p.heartbeat(3)); len(answer.Response.Commands) != 1 {
@@ -198,12 +200,12 @@
 		}
 	}
 	if len(p.machine.attempts) != 1 {
-		t.Error("the start is taken for lost")
+		t.Error("the start is treated as lost")
 	}
 }
 
-// Guards against messages that no controller of this version sends: they are refused,
-// change nothing, and are logged once for each reason.
+// Guards against messages that no controller of this version sends: they are refused
+// without effect, and logged once for each reason.
 func TestInvalidRelayedHeartbeatIsRefused(t *testing.T) {
 	var log bytes.Buffer
 	previous := slog.Default()
@@ -241,7 +243,7 @@
 	}
 }
 
-// Guards against statuses that former versions can't read, or that are taken for
+// Guards against statuses that former versions can't decode, or that are decoded as
 // heartbeats.
 func TestPeerMessageIsStatusOfFormerVersion(t *testing.T) {
 	status := Status{From: "n1", Session: 5, Cordoned: []string{"a"}}
@@ -261,7 +263,8 @@
 	}
 }
 
-// Guards against memory that grows with every machine that ever turned to a controller.
+// Guards against memory use that grows with every machine that ever sent a heartbeat to a
+// controller.
 func TestRelayedMachinesAreBounded(t *testing.T) {
 	relay, now := newHeartbeatRelay(), time.Now()
 	const interval = 4 * time.Second
--- a/internal/coordination/heartbeat_wait.go
+++ b/internal/coordination/heartbeat_wait.go
@@ -7,27 +7,29 @@
 	"reedtrack/internal/protocol"
 )
 
-// A proxy that is not acknowledged yet may not answer, and knows that the holder, to which
-// it would redirect the worker, can't be reached: the worker would spend the rest of its
-// lease going round. So it redirects to another proxy that may answer, or keeps the
-// heartbeat for a while and answers it as soon as it may itself. So does a controller that
-// is about to be a proxy: its relay to the holder got no answer. And so does one whose
-// lease is valid while its copy of the records is not recent, as in the instant after it was
-// cut off from the key-value store: it would send the worker away with 503. To the worker
-// that is an answer that took longer; docs/safety.md has the argument.
+// A proxy may not answer before its delegation is acknowledged, and a redirect to the
+// unreachable holder would make the worker spend the rest of its lease on retries. The
+// proxy therefore redirects the worker to another proxy that may answer, or lets the
+// heartbeat wait for a bounded time and answers it as soon as it may. The same applies to
+// a controller that is about to become a proxy because its relay to the holder got no
+// answer. It also applies to a controller whose lease is valid but whose replicated
+// records are not recent, as just after a partition from the key-value store, which would
+// otherwise answer 503. To the worker it is an answer that took longer; docs/safety.md has
+// the argument.
 
 const (
-	// maxHeartbeatWait is how long a heartbeat is kept. A worker waits 4 s from when
-	// it sent it, and is to be redirected in time if nothing has changed.
+	// maxHeartbeatWait is how long a heartbeat may wait. A worker waits 4 s from when it
+	// sent the heartbeat, and must still get a redirect in time if nothing has changed.
 	maxHeartbeatWait = 2 * time.Second
-	// maxWaitingHeartbeats is how many heartbeats are kept at a time. Beyond that
-	// workers are redirected.
+	// maxWaitingHeartbeats is the maximum number of heartbeats that wait at a time. Beyond
+	// that, workers are redirected.
 	maxWaitingHeartbeats = 4096
 )
 
-// otherProxy returns a reachable controller that the records show to answer for a machine
-// in place of its holder, or "". If they show this controller too, which does not answer,
-// there is none: two that end their delegations would redirect the worker to each other.
+// otherProxy returns a reachable controller that, according to the records, may answer for
+// a machine on behalf of its holder, or "". It also returns "" if the records list this
+// controller, which does not answer: otherwise two proxies that are ending their
+// delegations would redirect the worker to each other.
 func (n *Node) otherProxy(machine string, shardIndex int, now time.Time) string {
 	shardLease := n.records.Shards[shardIndex].Value
 	other := ""
@@ -47,7 +49,7 @@
 }
 
 // acknowledgementChange returns a channel that is closed when this controller may answer
-// for more machines, if a heartbeat is worth keeping for that; else nil.
+// for more machines, or nil if the heartbeat should not wait for that.
 func (n *Node) acknowledgementChange(report *protocol.Heartbeat, shardIndex int) <-chan struct{} {
 	proxy := &n.heartbeatProxy
 	delegation := proxy.delegations[shardIndex]
@@ -57,9 +59,10 @@
 	return proxy.nextChange()
 }
 
-// delegationChange returns a channel that is closed when this controller may answer for more
-// machines, or reaches the holder of a machine of its zone again, which has not answered it;
-// nil if the holder's session is over, or the machine can't be delegated to this controller.
+// delegationChange returns a channel that is closed when this controller may answer for
+// more machines, or when it reaches the holder that did not answer its relay again. It
+// returns nil if the holder's session has ended, or if the machine can't be delegated to
+// this controller.
 func (n *Node) delegationChange(report *protocol.Heartbeat, shardIndex int) <-chan struct{} {
 	if !n.records.HeartbeatProxiesEnabled() || n.settings.Location == "" || report.Zone != n.settings.Location {
 		return nil
@@ -70,8 +73,8 @@
 	return n.heartbeatProxy.nextChange()
 }
 
-// leaseChange returns a channel that is closed when this controller may act again, if it
-// lacks only a recent copy of the records for that; else nil.
+// leaseChange returns a channel that is closed when this controller may act again, or nil
+// unless it only lacks recent records.
 func (n *Node) leaseChange(state leaseState) <-chan struct{} {
 	if state != recordsNotRecent {
 		return nil
@@ -79,8 +82,8 @@
 	return n.heartbeatProxy.nextChange()
 }
 
-// nextChange returns a channel that is closed when heartbeats that are kept are to be
-// decided anew, or nil if no more are to be kept.
+// nextChange returns a channel that is closed when waiting heartbeats are to be
+// re-evaluated, or nil if the maximum number of waiting heartbeats is reached.
 func (p *heartbeatProxy) nextChange() <-chan struct{} {
 	if p.waitingHeartbeats >= maxWaitingHeartbeats {
 		return nil
@@ -88,8 +91,8 @@
 	return p.changed
 }
 
-// awaitChange keeps a heartbeat until a channel is closed. It returns false if that did not
-// happen before the deadline.
+// awaitChange blocks until the channel is closed. It returns false if that did not happen
+// before the deadline.
 func (n *Node) awaitChange(change <-chan struct{}, deadline time.Time) bool {
 	remaining := time.Until(deadline)
 	if remaining <= 0 {
@@ -107,14 +110,14 @@
 	}
 }
 
-// countWaitingHeartbeat changes the number of heartbeats that are kept.
+// countWaitingHeartbeat adds change to the number of waiting heartbeats.
 func (n *Node) countWaitingHeartbeat(change int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.heartbeatProxy.waitingHeartbeats += change
 }
 
-// wakeWaitingHeartbeats has the heartbeats that are kept decided anew.
+// wakeWaitingHeartbeats causes all waiting heartbeats to be re-evaluated.
 func (p *heartbeatProxy) wakeWaitingHeartbeats() {
 	close(p.changed)
 	p.changed = make(chan struct{})
--- a/internal/coordination/heartbeat_wait_bench_test.go
+++ b/internal/coordination/heartbeat_wait_bench_test.go
@@ -11,11 +11,13 @@
 	"reedtrack/internal/storage"
 )
 
-// zoneMachines is how many machines of a zone are cut off from their holder at once.
+// zoneMachines is the number of machines of a zone that a partition separates from their
+// holder at the same time.
 const zoneMachines = 2000
 
-// BenchmarkWaitingHeartbeatsOfZone measures what a proxy needs to keep a heartbeat of each
-// machine of a zone, and to answer them all as their acknowledgement comes.
+// BenchmarkWaitingHeartbeatsOfZone measures the cost for a proxy to let a heartbeat of
+// each machine of a zone wait, and to answer all of them when their acknowledgement
+// arrives.
 func BenchmarkWaitingHeartbeatsOfZone(b *testing.B) {
 	for b.Loop() {
 		b.StopTimer()
@@ -39,10 +41,10 @@
 				}
 			})
 		}
-		for kept := 0; kept < zoneMachines; {
+		for waitingCount := 0; waitingCount < zoneMachines; {
 			time.Sleep(time.Millisecond)
 			n.mu.Lock()
-			kept = n.heartbeatProxy.waitingHeartbeats
+			waitingCount = n.heartbeatProxy.waitingHeartbeats
 			n.mu.Unlock()
 		}
 		put(b, n, storage.DelegationAckKey(testDelegation), storage.DelegationAck{DelegationRevision: 20, Session: 4, FencingToken: 1, Machines: names}, 21)
--- a/internal/coordination/heartbeat_wait_test.go
+++ b/internal/coordination/heartbeat_wait_test.go
@@ -16,8 +16,8 @@
 	return &protocol.Heartbeat{Machine: "a", Address: "a:1", MachineType: "small", Zone: "b", Session: 1, Sequence: sequence, FencingToken: 2}
 }
 
-// delegate has the records show a delegation of the machine and, if acknowledged, its
-// acknowledgement by the shard's holder.
+// delegate applies a delegation of the machine to the records and, if acknowledged,
+// its acknowledgement by the shard's holder.
 func delegate(t *testing.T, n *Node, id storage.DelegationID, acknowledged bool) {
 	t.Helper()
 	put(t, n, storage.DelegationKey(id), storage.Delegation{Session: 5, FencingToken: 1, Machines: []string{"a"}}, 20)
@@ -26,7 +26,7 @@
 	}
 }
 
-// refresh has the proxy's copy of the records be recent, and its delegations follow it.
+// refresh marks the replicated records as recent and updates the delegations.
 func (n *Node) refresh() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -34,11 +34,11 @@
 	n.updateDelegations(n.now())
 }
 
-// Guards against a worker that is sent to a holder known to be out of reach while its lease
-// runs out, an instant before its proxy may answer.
+// Guards against a worker that is redirected to a holder known to be unreachable while its
+// lease is running out, just before its proxy may answer.
 func TestHeartbeatWaitsForAcknowledgement(t *testing.T) {
 	for name, c := range map[string]struct {
-		after  time.Duration // the acknowledgement is shown so long after the heartbeat; 0: never
+		after  time.Duration // delay from the heartbeat to the acknowledgement; 0: never
 		status int
 		took   time.Duration
 	}{
@@ -74,20 +74,20 @@
 // workerTimeout is how long a worker waits for an answer.
 const workerTimeout = 4 * time.Second
 
-// Guards against a heartbeat that is kept though what it waits for can't come any more, or
-// for longer than its worker waits.
+// Guards against a heartbeat that waits although the change that it waits for can no
+// longer happen, or that waits longer than its worker.
 func TestWaitingHeartbeatIsReevaluated(t *testing.T) {
 	if maxHeartbeatWait+relayTimeout >= workerTimeout {
-		t.Error("a kept heartbeat that is relayed afterwards is answered too late")
+		t.Error("a waiting heartbeat that is relayed afterwards is answered too late")
 	}
 	for name, c := range map[string]struct {
 		change func(n *Node)
 		status int
 		took   time.Duration
 	}{
-		"holder in reach again": {func(n *Node) { n.heartbeatProxy.lastReached["n0"] = n.now() }, http.StatusMisdirectedRequest, time.Second},
-		"lease lost":            {func(n *Node) { n.session.leaseValidUntil = n.now() }, http.StatusServiceUnavailable, maxHeartbeatWait},
-		"session over":          {func(n *Node) { n.replaceSession(0) }, http.StatusServiceUnavailable, time.Second},
+		"holder reachable again": {func(n *Node) { n.heartbeatProxy.lastReached["n0"] = n.now() }, http.StatusMisdirectedRequest, time.Second},
+		"lease lost":             {func(n *Node) { n.session.leaseValidUntil = n.now() }, http.StatusServiceUnavailable, maxHeartbeatWait},
+		"session over":           {func(n *Node) { n.replaceSession(0) }, http.StatusServiceUnavailable, time.Second},
 		"acknowledged, then lease lost": {func(n *Node) {
 			delegate(t, n, testDelegation, true)
 			n.session.leaseValidUntil = n.now()
@@ -114,15 +114,15 @@
 	}
 }
 
-// A heartbeat waits for nothing that can't come: no proxy of it is acknowledged where the
-// machine is left to its holder, the holder is in reach, or too many wait.
+// A heartbeat does not wait if no acknowledgement can follow: the machine is left to its
+// holder, the holder is reachable, or too many heartbeats are waiting.
 func TestHeartbeatIsAnsweredImmediately(t *testing.T) {
 	for name, change := range map[string]func(n *Node){
-		"holder in reach": func(n *Node) { n.heartbeatProxy.lastReached["n0"] = n.now(); n.heartbeatRelay.disabled = true },
-		"another zone":    func(n *Node) { n.settings.Location = "a" },
-		"too many wait":   func(n *Node) { n.heartbeatProxy.waitingHeartbeats = maxWaitingHeartbeats },
-		"left to holder":  func(n *Node) { n.heartbeatProxy.delegations[0].Deactivate() },
-		"no lease":        func(n *Node) { n.session.leaseValidUntil = n.now() },
+		"holder reachable": func(n *Node) { n.heartbeatProxy.lastReached["n0"] = n.now(); n.heartbeatRelay.disabled = true },
+		"another zone":     func(n *Node) { n.settings.Location = "a" },
+		"too many wait":    func(n *Node) { n.heartbeatProxy.waitingHeartbeats = maxWaitingHeartbeats },
+		"left to holder":   func(n *Node) { n.heartbeatProxy.delegations[0].Deactivate() },
+		"no lease":         func(n *Node) { n.session.leaseValidUntil = n.now() },
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -138,8 +138,9 @@
 	}
 }
 
-// Guards against a worker that one controller of its zone sends to a holder out of reach
-// though another may answer it; no controller is named that may not, or is not known.
+// Guards against a worker that a controller of its zone redirects to an unreachable holder
+// although another proxy may answer it. No controller is named that may not answer or is
+// unknown.
 func TestRedirectNamesAcknowledgedProxy(t *testing.T) {
 	for name, c := range map[string]struct {
 		proxy        string
@@ -149,7 +150,7 @@
 	}{
 		"acknowledged":     {"n2", true, true, "n2"},
 		"not acknowledged": {"n2", false, true, "n0"},
-		"out of reach":     {"n2", true, false, "n0"},
+		"unreachable":      {"n2", true, false, "n0"},
 		"unknown":          {"n7", true, true, "n0"},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -169,12 +170,12 @@
 	}
 }
 
-// Guards against a worker that is sent away with 503 in the instant before a controller that
-// was cut off from the key-value store has caught up: its lease is valid all the time.
+// Guards against a worker that gets a 503 just before a controller that was partitioned
+// from the key-value store has caught up, although its lease was valid throughout.
 func TestHeartbeatWaitsForRecentRecords(t *testing.T) {
 	for name, c := range map[string]struct {
-		after   time.Duration // the records are recent so long after the heartbeat; 0: never
-		waiting int           // heartbeats that are kept already
+		after   time.Duration // delay from the heartbeat until the records are recent; 0: never
+		waiting int           // number of heartbeats that are already waiting
 		status  int
 		took    time.Duration
 	}{
@@ -209,20 +210,21 @@
 	}
 }
 
-// remove deletes a record from a controller's copy.
+// remove deletes a record from a controller's replicated records.
 func remove(n *Node, key string) {
 	for _, change := range n.records.Apply([]protocol.Change{{Delete: key, Revision: 30}}) {
 		n.reactTo(change)
 	}
 }
 
-// Guards against a worker that is sent to a holder which has just not answered a relay, in
-// the two seconds before a cut between zones is noticed: it comes back an exchange later.
+// Guards against a worker that is redirected to a holder that has just failed to answer a
+// relay, in the two seconds before a partition between zones is detected: it would be back
+// one round trip later.
 func TestHeartbeatWaitsAfterFailedRelay(t *testing.T) {
 	const after = 700 * time.Millisecond
 	for name, c := range map[string]struct {
 		prepare func(n *Node) // nil: nothing
-		change  func(n *Node) // some time after the heartbeat; nil: nothing
+		change  func(n *Node) // applied some time after the heartbeat; nil: nothing
 		status  int
 		took    time.Duration
 	}{
--- a/internal/coordination/isolation_behind_cut_test.go
+++ b/internal/coordination/isolation_behind_cut_test.go
@@ -8,10 +8,10 @@
 	"reedtrack/internal/storage"
 )
 
-// stepsDownWithin tells whether a controller steps down within a time in which it hears
-// nobody.
+// stepsDownWithin reports whether a controller steps down within a period in which it
+// receives no heartbeats.
 func (n *Node) stepsDownWithin(silence time.Duration, now time.Time) bool {
-	const step = 500 * time.Millisecond // of the loop that detects failures
+	const step = 500 * time.Millisecond // interval of the loop that detects failures
 	steppedDown := n.stepDownIfIsolated(now)
 	for end := now.Add(silence); now.Before(end) && !steppedDown; {
 		now = now.Add(step)
@@ -20,9 +20,10 @@
 	return steppedDown
 }
 
-// Guards against a holder that gives its session up during a cut between zones since the
-// few machines on its side are silent for a moment: its jobs then stand still until the
-// cut is over. It still steps down if that lasts, or if it should hear many.
+// Guards against a holder that steps down during a partition between zones because the few
+// machines on its side are silent for a moment: its jobs would then make no progress until
+// the partition ends. It still steps down if the silence lasts, or if many machines should
+// report to it.
 func TestFewSilentMachinesAmongDelegated(t *testing.T) {
 	const machinesPerZone = 4
 	for _, c := range []struct {
@@ -56,15 +57,16 @@
 	}
 }
 
-// Guards against a new holder that steps down during a cut between zones since the machines
-// that a heartbeat proxy answers have never reported to it: the few that should report here
-// may be silent by coincidence. It still steps down if they stay silent, or are many.
+// Guards against a new holder that steps down during a partition between zones because the
+// machines that a heartbeat proxy answers have never reported to it: the few that should
+// report to it may be silent by coincidence. It still steps down if they stay silent, or
+// are many.
 func TestNewHolderWithDelegatedMachines(t *testing.T) {
 	const machinesPerZone = 4
 	for _, c := range []struct {
 		name      string
-		delegated int // of the eight machines, none of which has reported
-		granted   int // of the others, those that have just been granted
+		delegated int // out of eight machines, none of which has reported
+		granted   int // number of the others that have just been granted
 		silence   time.Duration
 		stepsDown bool
 	}{
--- a/internal/coordination/leader_status.go
+++ b/internal/coordination/leader_status.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// receiveStatus applies a holder's requests. What a former holder asks for, or
-// was planned before the last change of what boots for the shard, is dropped: the
-// holder is told of the change and plans again.
+// receiveStatus applies a holder's requests. Requests of a former holder, and requests
+// that were planned before the last change of the shard's booting machines, are dropped:
+// the holder is informed of the change and plans again.
 func (l *leadership) receiveStatus(n *Node, status *Status, now time.Time) {
 	for _, id := range status.Cordoned {
 		l.cordoned[id] = true
@@ -26,8 +26,9 @@
 	}
 }
 
-// answerStatus fills in what a holder needs from the leader: what boots for its
-// shards, which kinds the cloud has none of, and which of its machines are gone.
+// answerStatus fills in what a holder needs from the leader: the booting machines of its
+// shards, the machine kinds that the cloud has no capacity for, and which of its machines
+// were removed.
 func (l *leadership) answerStatus(n *Node, status *Status, reply *StatusReply, now time.Time) {
 	reply.IsLeader = true
 	for _, shardStatus := range status.Shards {
@@ -45,7 +46,7 @@
 	}
 }
 
-// shardReply returns what boots for a shard.
+// shardReply returns the booting machines of a shard.
 func (l *leadership) shardReply(shard int) ShardReply {
 	reply := ShardReply{Index: shard, BootingVersion: l.bootingVersion(shard)}
 	counts := map[machineKind]int{}
@@ -61,7 +62,6 @@
 	return reply
 }
 
-// includesShard reports whether a status covers a shard.
 func (status *Status) includesShard(shard int) bool {
 	return slices.ContainsFunc(status.Shards, func(shardStatus ShardStatus) bool {
 		return shardStatus.Index == shard
--- a/internal/coordination/leadership.go
+++ b/internal/coordination/leadership.go
@@ -35,27 +35,27 @@
 // changes with the holder, and the grant with whatever was added or taken since.
 // docs/safety.md has the arguments.
 type leadership struct {
-	// The term of office, set once by newLeadership.
-	revision   uint64 // of the leader's key; part of its request IDs
+	// The leadership term, set once by newLeadership.
+	revision   uint64 // revision of the leader's key; part of the leader's request IDs
 	acquiredAt time.Time
 
 	// The last grant that was written, set by writeGrant.
 	grantRevision  uint64
 	grantWrittenAt time.Time
 
-	// Machines that boot, and what the cloud refused: see boot_queue.go.
+	// Booting machines, and requests that the cloud refused: see boot_queue.go.
 	requestCount    int
 	booting         []*bootingMachine
 	bootingVersions map[int]uint64
 	noCapacityUntil map[machineKind]time.Time
 
-	// Machines that run, or ran: see machine_inventory.go.
+	// Running and former machines: see machine_inventory.go.
 	machines map[string]*cloudMachine
 	released map[string]bool
-	failed   map[string]bool // granted machines that the last list shows as failed, or lacks
-	listedAt time.Time       // when the last complete list was requested
+	failed   map[string]bool // granted machines that the last list shows as failed or does not contain
+	listedAt time.Time       // time when the last complete list was requested
 
-	// Machines that holders found to be faulty or slow, set by receiveStatus.
+	// Machines that holders reported as faulty or slow, set by receiveStatus.
 	cordoned map[string]bool
 
 	// When the catalog was last read, set by nextCloudCall and readCatalog.
@@ -75,9 +75,9 @@
 	}
 }
 
-// isReady reports whether a new leader has received enough to decide: every
-// controller has had time to send its status, and a whole list of the cloud was
-// requested since.
+// isReady reports whether a new leader has enough information to make decisions: every
+// controller has had time to send its status, and a complete list of the cloud's machines
+// was requested after it was elected.
 func (l *leadership) isReady(now time.Time) bool {
 	return now.Sub(l.acquiredAt) > 3*statusInterval && l.listedAt.After(l.acquiredAt)
 }
@@ -104,15 +104,15 @@
 	slog.Info("leadership acquired", "revision", revision)
 }
 
-// revokeLeadership gives up the duties that establishLeadership lists. What is
-// under way at the store fails, since it names the leader's key; a call to the
-// cloud may still be carried out, and its outcome goes to the former state.
+// revokeLeadership ends the duties that establishLeadership lists. Transactions in flight
+// fail, since they are conditional on the leader's key. A call to the cloud may still be
+// executed; its outcome is recorded in the discarded state.
 func (n *Node) revokeLeadership() {
 	n.leadership = nil
 }
 
-// leaderTick takes part in leader election and, as the leader, writes grants.
-// It returns how long deciding took.
+// leaderTick participates in leader election and, as the leader, writes grants. It returns
+// how long planning took.
 func (n *Node) leaderTick(ctx context.Context) time.Duration {
 	n.mu.Lock()
 	now := n.now()
@@ -141,9 +141,9 @@
 	return took
 }
 
-// planCandidacy returns the transaction that makes this controller the leader,
-// or nil while the leader's key names another. A key that names this controller
-// is that of a session of its own that is over.
+// planCandidacy returns the transaction that makes this controller the leader, or nil
+// while the leader's key names another controller. A key that names this controller
+// belongs to one of its ended sessions.
 func (n *Node) planCandidacy() *protocol.Txn {
 	leader := n.records.Leader
 	if leader.Revision != 0 && leader.Value.Name != n.settings.HostName {
@@ -156,8 +156,8 @@
 	}
 }
 
-// writeCandidacy tries to write the leader's key. Whether that succeeded shows
-// in the copy of the records.
+// writeCandidacy tries to write the leader's key. The replicated records show whether it
+// succeeded.
 func (n *Node) writeCandidacy(ctx context.Context, candidacy *protocol.Txn) {
 	if candidacy == nil {
 		return
@@ -166,8 +166,6 @@
 	slog.Debug("leader key write attempted", "err", err)
 }
 
-// planAsLeader serves this controller's own shards and returns the next grant,
-// or nil.
 func (n *Node) planAsLeader(now time.Time) *grantPlan {
 	status := n.buildStatus()
 	n.serveOwnShards(status, now)
@@ -181,7 +179,7 @@
 	return plan
 }
 
-// serveOwnShards serves the leader's own shards like those of the others.
+// serveOwnShards processes the leader's own status like that of any other controller.
 func (n *Node) serveOwnShards(status *Status, now time.Time) {
 	n.leadership.receiveStatus(n, status, now)
 	reply := StatusReply{From: n.settings.HostName, HoldsLease: true}
@@ -189,9 +187,9 @@
 	n.applyStatusReply(&reply)
 }
 
-// isLastGrantApplied reports whether the copy of the records shows the last grant,
-// or is no longer waited for. The next grant names the last one's fencing
-// token, so before that it would only fail.
+// isLastGrantApplied reports whether the replicated records contain the last grant, or
+// maxApplyDelay has passed since it was written. The next grant is conditional on the last
+// one's fencing token, so it would fail before that.
 func (n *Node) isLastGrantApplied(now time.Time) bool {
 	l := n.leadership
 	return n.records.AppliedRevision >= l.grantRevision || now.Sub(l.grantWrittenAt) > maxApplyDelay
@@ -214,8 +212,8 @@
 	}
 }
 
-// sendGrant sends a grant. The workers of a shard whose holder is gone have no answer
-// until it has the next, so that grant does not wait long for an answer to one copy.
+// sendGrant sends a grant. The workers of a shard without a holder get no answers until
+// the shard has a new one, so a grant of a shard is hedged.
 func (n *Node) sendGrant(ctx context.Context, plan *grantPlan) (uint64, error) {
 	if plan.changes.shard != nil {
 		return n.store.HedgedTxn(ctx, plan.txn)
@@ -223,8 +221,7 @@
 	return n.store.Txn(ctx, plan.txn)
 }
 
-// leaderPrecondition requires that the leader's key is as the copy here shows
-// it.
+// leaderPrecondition requires that the leader's key is unchanged since it was replicated.
 func (n *Node) leaderPrecondition() protocol.Precondition {
 	return protocol.Precondition{Key: storage.LeaderKey, Revision: n.records.Leader.Revision}
 }
--- a/internal/coordination/leadership_test.go
+++ b/internal/coordination/leadership_test.go
@@ -7,7 +7,7 @@
 	"reedtrack/internal/protocol"
 )
 
-// The log shows what a grant changes in one line.
+// The log describes the changes of a grant in one line.
 func TestGrantChangesText(t *testing.T) {
 	for _, c := range []struct {
 		name    string
@@ -30,8 +30,8 @@
 	}
 }
 
-// A list proves that a machine was removed only if it lacks it and describes a
-// later time than the one at which the machine was first listed.
+// A list proves that a machine was removed only if it does not contain the machine and
+// reflects a later time than the machine's first listing.
 func TestListShowsRemovedMachine(t *testing.T) {
 	requestedAt := time.Now()
 	list := machineList{
@@ -59,12 +59,12 @@
 	}
 }
 
-// Only the leader's own name, or a vacant key, lets a controller try to become
-// the leader.
+// A controller tries to become the leader only if the leader's key is vacant or names the
+// controller itself.
 func TestCandidacy(t *testing.T) {
 	for _, c := range []struct {
 		name   string
-		leader string // empty: no key
+		leader string // name in the leader's key; empty: no key
 		want   bool
 	}{
 		{"vacant", "", true},
--- a/internal/coordination/lease_loop.go
+++ b/internal/coordination/lease_loop.go
@@ -12,10 +12,10 @@
 	"reedtrack/internal/transport"
 )
 
-// leaseLoop keeps the controller's lease: it performs the session's next step
-// and tells it the outcome. What the step should be is asked anew after each
-// wait, since the session may be found to be over meanwhile. Renewals are not waited
-// for: a lease would run out behind a few that get no answer.
+// leaseLoop keeps the controller's lease alive: it performs the session's next step and
+// reports the outcome to the session. It asks for the next step again after each wait,
+// since the session may have ended meanwhile. It does not wait for renewals to complete,
+// because the lease could expire while a few of them are unanswered.
 func (n *Node) leaseLoop(ctx context.Context) {
 	var renewals sync.WaitGroup
 	defer renewals.Wait()
@@ -35,8 +35,8 @@
 	}
 }
 
-// nextSessionStep returns the session's next step and how long it has to wait. One that
-// need not wait counts as sent.
+// nextSessionStep returns the session's next step and the delay until it is due. A step
+// that is due is recorded as sent.
 func (n *Node) nextSessionStep() (step session.Step, delay time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -49,7 +49,7 @@
 	return step, delay
 }
 
-// awaitSessionStep waits until a step is due, or another one may be.
+// awaitSessionStep waits until a step is due or the next step may have changed.
 func (n *Node) awaitSessionStep(ctx context.Context, delay time.Duration) {
 	due := time.NewTimer(delay)
 	defer due.Stop()
@@ -60,7 +60,7 @@
 	}
 }
 
-// runSessionStep performs a step of the session and tells it the outcome.
+// runSessionStep performs a step of the session and reports the outcome to the session.
 func (n *Node) runSessionStep(ctx context.Context, step session.Step) {
 	result, err := n.performStep(ctx, step)
 	if err != nil {
@@ -72,15 +72,15 @@
 	n.applySession()
 }
 
-// performStep performs one step of the session at the store. The result names
-// when the request was sent: the lease counts from then, since the store may have
-// carried it out at any moment after.
+// performStep performs one step of the session at the store. The result contains the time
+// when the request was sent: the lease counts from then, since the store may have executed
+// the request at any time after.
 func (n *Node) performStep(ctx context.Context, step session.Step) (session.Result, error) {
 	result := session.Result{SentAt: n.now()}
 	var err error
 	switch step.Operation {
 	case session.ReadKey:
-		var own storage.Controller // as this process, or the one before it, wrote it
+		var own storage.Controller // as written by this process or its predecessor
 		own, result.Key.Revision, err = n.store.ReadController(ctx, n.settings.HostName)
 		result.Key.Session = own.Session
 	case session.GrantLease:
@@ -98,9 +98,9 @@
 	return result, err
 }
 
-// stepOutcome returns what a step's error says of it. Only the store's word that
-// the lease does not exist ends the session; after any other error the step may
-// have been carried out.
+// stepOutcome maps the error of a step to its outcome. Only the store's response that the
+// lease does not exist ends the session; after any other error the step may have been
+// executed.
 func stepOutcome(err error) session.Outcome {
 	switch {
 	case err == nil:
@@ -111,7 +111,7 @@
 	return session.Failed
 }
 
-// renewalOutcome returns the label under which a renewal is counted.
+// renewalOutcome returns the metric label for the outcome of a renewal.
 func renewalOutcome(err error) string {
 	switch {
 	case err == nil:
--- a/internal/coordination/lease_renewal_test.go
+++ b/internal/coordination/lease_renewal_test.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// A controller keeps its lease while several renewals in a row get no answer: copies of a
-// renewal are sent side by side. It once sent the next when the one before was given up,
-// and answered users and workers with 503 until one was answered.
+// Guards against a lease that expires because each renewal waits for the previous one to
+// time out, which made the controller answer users and workers with 503. Renewals are sent
+// concurrently, so the lease outlives several unanswered ones.
 func TestLeaseOutlivesUnansweredRenewals(t *testing.T) {
 	for _, lost := range []int{1, 7, 16} {
 		t.Run(fmt.Sprint(lost, " unanswered"), func(t *testing.T) {
@@ -40,8 +40,8 @@
 	}
 }
 
-// The lease of a controller that no renewal reaches the store for runs out by its own clock
-// in time, and it has it again soon after one is answered.
+// The lease of a controller whose renewals get no answers expires by its own clock in
+// time, and is valid again soon after a renewal is answered.
 func TestLeaseRunsOutWithoutAnswers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w, _ := startSingleController(t)
--- a/internal/coordination/loops.go
+++ b/internal/coordination/loops.go
@@ -8,45 +8,44 @@
 )
 
 const (
-	// loopPeriod is how often a loop runs that nothing wakes: often enough for
-	// what only time brings about, such as the end of a lease.
+	// loopPeriod is how often a loop runs without being woken: often enough for time-based
+	// changes, such as the end of a lease.
 	loopPeriod = 250 * time.Millisecond
-	// wakeBatchDelay is how long a loop that was woken waits for more of the same
-	// burst, such as the heartbeats of many workers.
+	// wakeBatchDelay is how long a woken loop waits for more events of the same burst,
+	// such as the heartbeats of many workers.
 	wakeBatchDelay = 20 * time.Millisecond
-	// pauseToRuntimeRatio is how many times as long as it ran a loop pauses: it gets
-	// at most a tenth of the time. On a share of a processor it would otherwise
-	// crowd out the answers to workers.
+	// pauseToRuntimeRatio is the ratio of a loop's pause to its preceding run time: a loop
+	// runs for at most a tenth of the time. On a limited CPU share it would otherwise
+	// delay the answers to workers.
 	pauseToRuntimeRatio = 9
-	// maxLoopPause bounds that pause, so that a loop that was slow once does not
-	// stand still. See pauseThreshold, which counts on it.
+	// maxLoopPause bounds that pause, so that one slow run does not stall the loop.
+	// pauseThreshold depends on it.
 	maxLoopPause = 2 * loopPeriod
-	// fullPlansPerHeartbeat is how many full plans are made in each interval of
-	// the workers' heartbeats, with which a plan takes effect: more would change
-	// nothing.
+	// fullPlansPerHeartbeat is how many full plans are made per heartbeat interval of the
+	// workers. Plans take effect with heartbeats, so more plans would change nothing.
 	fullPlansPerHeartbeat = 4
 )
 
-// loops returns the loops of the controller, all of which run side by side. Those
-// with a wake-up also run when it is signalled.
+// loops returns the loops of the controller, all of which run concurrently. Loops with a
+// wake channel also run when it is signalled.
 func (n *Node) loops() []func(context.Context) {
 	loops := []func(context.Context){
-		n.leaseLoop,     // keeps the lease at the store; each step when the session is due
-		n.replica.Run,   // copies the records; the store is watched all the time
-		n.readIndex.Run, // confirms that the copy is recent; when users' requests wait for it
-		n.cloudLoop,     // calls the cloud, as the leader; ten times a second, and as the cloud's rate allows
+		n.leaseLoop,     // keeps the lease at the store; runs when the session's next step is due
+		n.replica.Run,   // replicates the records; watches the store continuously
+		n.readIndex.Run, // confirms that the replica is recent; runs when user requests wait for it
+		n.cloudLoop,     // calls the cloud, as the leader; ten times a second, within the cloud's rate limit
 
 		wakeableLoop(n.wake.plan, n.planTick),               // plans the shards; every loopPeriod
 		wakeableLoop(n.wake.write, n.writeTick),             // writes the shards' records; every loopPeriod
-		wakeableLoop(n.wake.leader, n.leaderTick),           // stands for leader, grants as the leader; every loopPeriod
-		wakeableLoop(n.wake.dependencies, n.dependencyTick), // reads ends, cancels dependents; every loopPeriod
-		n.delegationLoop, // writes delegations and acknowledgements, each on its own; every loopPeriod
+		wakeableLoop(n.wake.leader, n.leaderTick),           // participates in leader election, writes grants as the leader; every loopPeriod
+		wakeableLoop(n.wake.dependencies, n.dependencyTick), // reads job results, cancels dependent jobs; every loopPeriod
+		n.delegationLoop, // writes delegations and acknowledgements, concurrently; every loopPeriod
 	}
 	if n.latency != nil {
 		loops = append(loops, n.logLatencyLoop) // logs summaries; five times per LatencyLogInterval
 	}
 	for name, peer := range n.peers {
-		// Exchanges statuses with one other controller; every statusInterval.
+		// Exchanges statuses with one peer; every statusInterval.
 		loops = append(loops, func(ctx context.Context) { n.statusExchangeLoop(ctx, name, peer) })
 	}
 	return loops
@@ -61,7 +60,8 @@
 	wg.Wait()
 }
 
-// wakeChannels are channels that wake the loops before their next period, see signal.
+// wakeChannels holds the channels that wake the loops before their next period, see
+// signal.
 type wakeChannels struct {
 	plan         chan struct{}
 	write        chan struct{}
@@ -71,7 +71,7 @@
 	lease        chan struct{}
 }
 
-// newWakeChannels returns channels that hold one signal each: a loop that is woken
+// newWakeChannels returns channels with a buffer of one signal each: a loop that is woken
 // several times before it runs needs to run only once.
 func newWakeChannels() wakeChannels {
 	return wakeChannels{
@@ -92,7 +92,7 @@
 	signal(n.wake.leader)
 }
 
-// signal wakes the loop that reads the channel, unless it is signalled already.
+// signal wakes the loop that reads the channel, unless a signal is already pending.
 func signal(wake chan struct{}) {
 	select {
 	case wake <- struct{}{}:
@@ -100,9 +100,9 @@
 	}
 }
 
-// wakeableLoop returns the loop that calls tick when woken, and at least every
-// loopPeriod and the pause after the last call. tick returns how long it had the
-// processor.
+// wakeableLoop returns a loop that calls tick when woken, and at the latest after
+// loopPeriod and the pause that follows the previous call. tick returns how long it used
+// the CPU.
 func wakeableLoop(wake <-chan struct{}, tick func(context.Context) time.Duration) func(context.Context) {
 	return func(ctx context.Context) {
 		for ctx.Err() == nil {
@@ -131,8 +131,8 @@
 	}
 }
 
-// planTick makes the plans of all shards, and sends what they order directly to
-// the workers; it returns how long the planning took.
+// planTick plans all shards and sends the resulting direct messages to the workers. It
+// returns how long planning took.
 func (n *Node) planTick(ctx context.Context) time.Duration {
 	took, planned := n.planShards()
 	if planned {
@@ -141,8 +141,8 @@
 	return took
 }
 
-// planShards makes the plans of all shards, if this controller may act and
-// serves workers.
+// planShards plans all shards if this controller holds its lease and is not isolated from
+// the workers.
 func (n *Node) planShards() (took time.Duration, planned bool) {
 	now := n.now()
 	n.mu.Lock()
@@ -174,7 +174,7 @@
 	return time.Since(start), true
 }
 
-// planShard decides what becomes of a shard's machines, and plans its tasks.
+// planShard updates the state of a shard's machines and plans its tasks.
 func (n *Node) planShard(s *shard, input *planInput, full bool, now time.Time) {
 	s.dirty = false
 	n.markRemovedMachines(s)
@@ -193,8 +193,8 @@
 	}
 }
 
-// markRemovedMachines marks the machines of a shard that the leader found to be
-// removed by the cloud; what ran there is lost.
+// markRemovedMachines marks the machines of a shard that the leader reported as removed by
+// the cloud; their tasks are lost.
 func (n *Node) markRemovedMachines(s *shard) {
 	for id := range n.removedMachines {
 		if m := s.machines[id]; m != nil && !m.removed {
@@ -205,8 +205,7 @@
 	}
 }
 
-// cpuShare returns the processor time that this process may use, as a share of
-// one processor.
+// cpuShare returns the CPU share that this process may use, in cores.
 func (n *Node) cpuShare() float64 {
 	if share := n.settings.Deployment.Limits.CPUShare; share > 0 {
 		return share
@@ -214,8 +213,8 @@
 	return 1
 }
 
-// recordLeaseChange logs when this controller begins and ceases to hold its lease, and
-// what it lacks.
+// recordLeaseChange logs when this controller acquires or loses its lease, and the reason
+// for a loss.
 func (n *Node) recordLeaseChange(now time.Time) {
 	state := n.leaseState(now)
 	holdsLease := state == leaseHeld
@@ -232,8 +231,8 @@
 		"since_renewal_s", now.Sub(n.session.own.RenewalSentAt()).Seconds(), "records_age_s", now.Sub(n.records.SyncedAt).Seconds())
 }
 
-// writeTick writes the records of this controller's shards. Its time goes into
-// waiting for the store, not into the processor, so no pause follows.
+// writeTick writes the records of this controller's shards. It returns 0 because it spends
+// its time waiting for the store rather than using the CPU, so no pause is needed.
 func (n *Node) writeTick(ctx context.Context) time.Duration {
 	n.mu.Lock()
 	holdsLease := n.holdsLease(n.now())
--- a/internal/coordination/node.go
+++ b/internal/coordination/node.go
@@ -1,13 +1,11 @@
-// Package coordination is the controller of a deployment: it keeps its lease in
-// the key-value store, takes part in leader election, acquires and releases
-// shards, plans where tasks run, and reconciles what workers report with the
-// records.
+// Package coordination implements the controller of a deployment: it keeps its lease in
+// the key-value store, takes part in leader election, acquires and releases shards, plans
+// where tasks run, and reconciles the workers' reports with the records.
 //
-// One mutex guards all state. Loops and request handlers lock it, decide, and
-// unlock it before they call the store, the cloud, a worker or another
-// controller; the outcome is recorded under the lock again. Transactions name
-// the revisions of the records that they depend on, so a decision that was
-// overtaken fails instead of being applied.
+// One mutex guards all state. Loops and request handlers lock it, decide, and unlock it
+// before they call the store, the cloud, a worker or another controller; they lock it
+// again to record the outcome. Transactions are conditional on the revisions of the
+// records that they depend on, so an outdated decision fails instead of being applied.
 package coordination
 
 import (
@@ -24,9 +22,9 @@
 	"reedtrack/internal/storage"
 )
 
-// watchesPerLease is how many watches of the store fit into the time of a lease.
-// A watch without changes shows that the copy of the records is recent, which
-// holding the lease takes (see holdsLease): several may fail in a row.
+// watchesPerLease is how many watch requests to the store fit into the duration of a
+// lease. A watch without changes shows that the replicated records are recent, which
+// holdsLease requires, so several watches in a row may fail.
 const watchesPerLease = 4
 
 // Node is one controller process.
@@ -42,11 +40,11 @@
 	limiter      *dispatch.Limiter
 	guards       dispatch.DisabledGuards // disabled one at a time by tests
 	now          func() time.Time
-	cpuTime      func() time.Duration                     // processor time that the process has used
-	findEndedJob func(id string) (storage.EndedJob, bool) // how a job ended, if the store is known to have its end
+	cpuTime      func() time.Duration                     // CPU time that the process has used
+	findEndedJob func(id string) (storage.EndedJob, bool) // returns how a job ended, if its end is known to be stored
 	replica      *storage.Replica
 	readIndex    *storage.ReadIndex
-	confirm      func(context.Context) error // brings the copies below up to all that was committed before the call
+	confirm      func(context.Context) error // updates the replicated records below with everything that was committed before the call
 
 	wake wakeChannels
 
@@ -57,16 +55,16 @@
 	records *clusterstate.Records
 	ends    endCache
 
-	// What follows from the records.
+	// Derived from the records and the settings.
 	teams         map[string]teamQuota
 	serviceLevels serviceLevels // recent service levels of classes and teams
 
-	// The shards, and what planning needs.
+	// Shards and planning state.
 	shards           map[int]*shard // shards that this controller holds
-	lastFullPlan     time.Time      // when the last full plan was made, see shard.plan
+	lastFullPlan     time.Time      // time of the last full plan, see shard.plan
 	pendingJobs      map[string]pendingJob
 	noCapacityUntil  map[machineKind]time.Time
-	removedMachines  map[string]bool // machines that the leader found to be removed by the cloud
+	removedMachines  map[string]bool // machines that the leader reported as removed by the cloud
 	cordonedMachines map[string]bool // faulty or slow machines that the leader is to replace
 	cpuMeter         cpuMeter
 	failureDetector  failureDetector
@@ -76,43 +74,42 @@
 	// The other controllers, and leadership.
 	ordinal            int // position of this controller among all, by name
 	peerStatus         map[string]*Status
-	publishedStatus    *Status                   // the status last sent to the others
-	loggedStatusErrors map[statusValueError]bool // values in others' statuses that were left out
+	publishedStatus    *Status                   // status last sent to the peers
+	loggedStatusErrors map[statusValueError]bool // ignored values in peers' statuses that were already logged
 	leadership         *leadership               // nil: another controller leads
 }
 
 // Peer calls another controller.
 type Peer interface {
-	// Call sends a message and decodes the reply into out. After an error the
-	// message may have been received all the same.
+	// Call sends a message and decodes the reply into out. After an error the message may
+	// still have been received.
 	Call(timeout time.Duration, in, out any) error
-	// TryCall is like Call, but fails at once while another TryCall is under way. It
+	// TryCall is like Call, but fails immediately while another TryCall is in progress. It
 	// never delays a Call.
 	TryCall(timeout time.Duration, in, out any) error
 }
 
-// Cloud is the API of the cloud provider. A call that failed may have been
-// carried out: the list of machines is what counts.
+// Cloud is the API of the cloud provider. A failed call may still have been executed: the
+// list of machines is authoritative.
 type Cloud interface {
 	// Catalog returns the machine types that can be requested.
 	Catalog(ctx context.Context) (protocol.Catalog, error)
-	// RequestMachines requests machines, and returns their names. It fails with
-	// ErrNoCapacity if there is none of the kind.
+	// RequestMachines requests machines and returns their names. It fails with
+	// ErrNoCapacity if the cloud has no capacity of the kind.
 	RequestMachines(ctx context.Context, r protocol.MachineRequest) ([]string, error)
-	// Release gives machines back.
+	// Release returns machines to the cloud.
 	Release(ctx context.Context, names []string) error
-	// List returns a page of the machines that exist: those after the machine
-	// named since, the last of the page before; an empty since begins with the
-	// first.
+	// List returns a page of the existing machines: those after the machine named since,
+	// which is the last one of the previous page. An empty since returns the first page.
 	List(ctx context.Context, since string) (protocol.MachineList, error)
 }
 
-// ErrNoCapacity is returned by a Cloud that has no machine of the requested
-// kind.
+// ErrNoCapacity is returned by a Cloud that has no capacity for the requested kind of
+// machine.
 var ErrNoCapacity = errors.New("cloud: no capacity")
 
-// New returns a controller; Run starts it. Without a store, a cloud or peers, as
-// some tests make it, it must not run.
+// New returns a controller; Run starts it. A controller without a store, a cloud or peers,
+// as some tests create it, must not be run.
 func New(settings *config.Settings, operator config.Operator, store *storage.Client, cloud Cloud, peers map[string]Peer, direct Direct) *Node {
 	n := &Node{
 		settings: settings,
@@ -151,8 +148,8 @@
 	return n
 }
 
-// initWorkers sets up the parts that deal with workers, whose timing follows
-// their heartbeats.
+// initWorkers sets up the components that interact with workers. Their timing derives from
+// the heartbeat interval.
 func (n *Node) initWorkers() {
 	limits := &n.settings.Deployment.Limits
 	heartbeatInterval := config.Seconds(n.settings.Deployment.Workers.ReportS)
@@ -165,8 +162,8 @@
 	}
 }
 
-// initReplica sets up the copy of the records, and what confirms that it is
-// recent.
+// initReplica sets up the replica of the records and the read index, which confirms that
+// the replica is recent.
 func (n *Node) initReplica() {
 	deployment := &n.settings.Deployment
 	n.replica = &storage.Replica{
--- a/internal/coordination/peer_message.go
+++ b/internal/coordination/peer_message.go
@@ -1,19 +1,19 @@
 package coordination
 
-// PeerMessage is what a controller sends to another: its status, or a heartbeat that
-// it relays. The status has the form in which former versions send it.
+// PeerMessage is a message between controllers: the sender's status, or a heartbeat that
+// it relays. The status is encoded as former versions send it.
 type PeerMessage struct {
 	Status
 	Heartbeat *RelayedHeartbeat `cbor:"Heartbeat,omitempty"` // from storage.SchemaHeartbeatRelays on
 }
 
-// PeerReply answers a PeerMessage in kind.
+// PeerReply is the reply to a PeerMessage: to a status or to a relayed heartbeat.
 type PeerReply struct {
 	StatusReply
 	Heartbeat *HeartbeatAnswer `cbor:"Heartbeat,omitempty"`
 }
 
-// ReceiveMessage answers what another controller sends.
+// ReceiveMessage handles a message from another controller and returns the reply.
 func (n *Node) ReceiveMessage(message PeerMessage) PeerReply {
 	if message.Heartbeat == nil {
 		return PeerReply{StatusReply: n.ReceiveStatus(message.Status)}
--- a/internal/coordination/relayed_heartbeat.go
+++ b/internal/coordination/relayed_heartbeat.go
@@ -8,39 +8,40 @@
 	"reedtrack/internal/protocol"
 )
 
-// The holder's side of heartbeat_relay.go.
+// This file implements the holder's side of heartbeat_relay.go.
 
 const (
-	// maxRelayedTasks is how many tasks a relayed heartbeat may list.
+	// maxRelayedTasks is the maximum number of tasks that a relayed heartbeat may list.
 	maxRelayedTasks = 4096
-	// relayHopCount is how often a relayed heartbeat has been relayed: it goes to the holder
-	// or nowhere.
+	// relayHopCount is the hop count of a relayed heartbeat. It is only ever relayed once,
+	// directly to the holder.
 	relayHopCount = 1
-	// maxLoggedRefusals bounds the refusals that are logged.
+	// maxLoggedRefusals is the maximum number of distinct refusals that are logged.
 	maxLoggedRefusals = 64
 )
 
-// RelayedHeartbeat is a worker's heartbeat that a controller relays to the holder of
-// the machine's shard.
+// RelayedHeartbeat is a worker's heartbeat that a controller relays to the holder of the
+// machine's shard.
 type RelayedHeartbeat struct {
 	From    string             `cbor:"From"`    // the controller that relays
 	Session uint64             `cbor:"Session"` // its session
-	Hops    int                `cbor:"Hops"`    // how often the heartbeat has been relayed
+	Hops    int                `cbor:"Hops"`    // how many times the heartbeat has been relayed
 	Report  protocol.Heartbeat `cbor:"Report"`
 }
 
-// relayRefusal is why a relayed heartbeat is refused.
+// relayRefusal is the reason why a relayed heartbeat is refused.
 type relayRefusal struct {
 	from   string // the controller that relayed it
 	reason string
 }
 
-// Error names the controller and the reason.
+// Error returns a message with the controller and the reason.
 func (e relayRefusal) Error() string {
 	return fmt.Sprintf("heartbeat relayed by %s: %s", e.from, e.reason)
 }
 
-// checkRelayedHeartbeat returns an error for a relayed heartbeat that must not be looked at.
+// checkRelayedHeartbeat returns an error for a relayed heartbeat that must not be
+// processed.
 func (n *Node) checkRelayedHeartbeat(relayed *RelayedHeartbeat) error {
 	past := n.session.past[relayed.From]
 	switch {
@@ -79,8 +80,8 @@
 	return n.redirect(n.records.Shards[shardIndex].Value.Holder.Name)
 }
 
-// logRelayRefusal logs that a controller's relayed heartbeat is refused, once for
-// each reason.
+// logRelayRefusal logs that a relayed heartbeat is refused, once for each controller and
+// reason.
 func (n *Node) logRelayRefusal(from string, err error) {
 	refusal := relayRefusal{from, "invalid"}
 	errors.As(err, &refusal)
--- a/internal/coordination/schema.go
+++ b/internal/coordination/schema.go
@@ -10,9 +10,9 @@
 	"reedtrack/internal/storage"
 )
 
-// storeLimits returns the limits that the store is known to have on writes.
-// What versions before split grants write fits the present limits; afterwards
-// lower ones may apply without notice.
+// storeLimits returns the write limits that the store currently enforces. Versions without
+// split grants only write what fits the present limits; after the upgrade, lower limits
+// may take effect without notice.
 func (n *Node) storeLimits() config.Limits {
 	if n.records.SplitGrantsEnabled() {
 		return n.settings.StoreLimits()
@@ -21,7 +21,7 @@
 	return config.Limits{WriteRPS: state.WriteRPS, ValueKB: state.ValueKB, TxnOps: state.TxnOps}
 }
 
-// maxMachinesPerShard returns how many machines a shard can have.
+// maxMachinesPerShard returns the maximum number of machines of a shard.
 func (n *Node) maxMachinesPerShard() int {
 	if n.records.SplitGrantsEnabled() {
 		return n.settings.MaxShardMachines()
@@ -29,9 +29,9 @@
 	return n.settings.SingleRecordCapacity()
 }
 
-// advanceSchema writes, once, a marker that this controller has run this
-// version, and, as the leader, raises the schema version when all have. Markers
-// are bound to no lease, so the controllers need not be up at the same time,
+// advanceSchema writes, once, a marker that this controller has run this version. As the
+// leader, it raises the schema version when all controllers have written their markers.
+// Markers are not bound to a lease, so the controllers need not be up at the same time,
 // and the version is never lowered.
 func (n *Node) advanceSchema(ctx context.Context) {
 	n.mu.Lock()
@@ -57,12 +57,12 @@
 	slog.Info("schema upgrade step", "step", step, "upgraded", upgraded, "controllers", n.settings.Deployment.Count, "err", err)
 }
 
-// nextSplitTxn returns the next step of splitting a shard's grant into chunks,
-// or nil. The chunks are staged under the condition that the grant is
-// unchanged, each within the future limits; then one small write of the head
-// makes them count. A late step fails or repeats what is there, so the work can
-// stop and continue at any point, under another leader too. Meanwhile nobody
-// changes the grant.
+// nextSplitTxn returns the next step of splitting a shard's grant into chunks, or nil.
+// Chunks are staged on condition that the grant is unchanged, each within the future size
+// limits; a final small write of the head record then makes them effective. A late step
+// either fails or repeats what is already stored, so splitting can be interrupted and
+// resumed at any point, also by another leader. The grant is not otherwise modified
+// meanwhile.
 func (n *Node) nextSplitTxn() (*protocol.Txn, string) {
 	for i := range n.operator.Shards {
 		grant, ok := n.records.Grants[i]
@@ -76,7 +76,7 @@
 			var revision uint64
 			if staged := n.records.GrantChunks[i][k]; staged != nil {
 				if staged.Value.Generation == grant.Revision && staged.Bytes >= 0 {
-					continue // staged already
+					continue // already staged
 				}
 				revision = staged.Revision
 			}
@@ -95,7 +95,7 @@
 	return nil, ""
 }
 
-// splitLeases divides machine leases into chunks of at most so many bytes.
+// splitLeases divides machine leases into chunks of at most maxBytes.
 func splitLeases(leases []storage.MachineLease, maxBytes int) [][]storage.MachineLease {
 	var chunks [][]storage.MachineLease
 	size := maxBytes
@@ -110,8 +110,7 @@
 	return chunks
 }
 
-// deleteStaleChunks deletes completion chunks of jobs that have ended, as far
-// as the write budget allows.
+// deleteStaleChunks deletes completion chunks of ended jobs, within the write budget.
 func (n *Node) deleteStaleChunks(ctx context.Context) {
 	n.mu.Lock()
 	var txn protocol.Txn
--- a/internal/coordination/schema_test.go
+++ b/internal/coordination/schema_test.go
@@ -15,10 +15,9 @@
 	"reedtrack/internal/storage"
 )
 
-// What the previous version wrote (testdata/production, made by its code) is
-// read without loss, and before the schema upgrade this version writes the same
-// bytes: a field that the other doesn't know would be lost when it writes a
-// record again.
+// Records of the previous version (testdata/production, written by its code) are read
+// without loss, and before the schema upgrade this version writes the same bytes: a field
+// that the other version does not know would be lost when it rewrites a record.
 func TestPreviousVersionRecords(t *testing.T) {
 	for name, record := range map[string]any{
 		"job":       new(storage.Job),
@@ -41,7 +40,8 @@
 	}
 }
 
-// The same of the messages between controllers.
+// Messages of the previous version between controllers are read without loss and written
+// as the same bytes.
 func TestPreviousVersionMessages(t *testing.T) {
 	encoding, _ := cbor.EncOptions{Sort: cbor.SortCanonical}.EncMode()
 	for name, message := range map[string]any{
@@ -60,7 +60,7 @@
 	}
 }
 
-// readProduction reads what the previous version wrote.
+// readProduction reads a file written by the previous version.
 func readProduction(t *testing.T, file string) []byte {
 	t.Helper()
 	raw, err := os.ReadFile(filepath.Join("testdata/production", file))
@@ -70,9 +70,8 @@
 	return raw
 }
 
-// A grant in chunks says the same as one in a record; a version without support
-// for chunks can't decode the head, and so never takes the shard for one
-// without machines.
+// A grant in chunks is equivalent to one in a single record. A version without support for
+// chunks can't decode the head, so it never mistakes the shard for one without machines.
 func TestSplitGrant(t *testing.T) {
 	w := newWorld(1, nil)
 	n := New(w.settings, w.settings.Defaults(), nil, nil, nil, nil)
@@ -81,7 +80,7 @@
 	n.apply(storage.SchemaVersionKey, []byte(`{"form":2}`), 8)
 	w.settings.Deployment.State.Next = nil
 	n.records.Leader.Revision = 5
-	w.settings.Deployment.State.ValueKB = 0.35 // one machine a chunk
+	w.settings.Deployment.State.ValueKB = 0.35 // one machine per chunk
 	revision, steps := uint64(9), 0
 	for ; steps < 20; steps++ {
 		txn, _ := n.nextSplitTxn()
@@ -94,7 +93,7 @@
 		}
 		revision++
 		if n.records.Grants[0].Value.Generation == 0 && !reflect.DeepEqual(before, n.records.Grants[0].Value) {
-			t.Fatal("chunks count before the grant says so")
+			t.Fatal("chunks take effect before the grant is split")
 		}
 	}
 	after := n.records.Grants[0].Value
@@ -110,20 +109,20 @@
 	if json.Unmarshal(head, &asFormerVersion) == nil {
 		t.Error("the former version would take the shard for one without machines")
 	}
-	// A chunk that can't be decoded leaves the shard as it is.
+	// A chunk that can't be decoded leaves the shard unchanged.
 	n.apply(storage.GrantChunkKey(0, 0), []byte(`{"of":7,"blocks":{"names":["0x"]}}`), revision)
 	if !reflect.DeepEqual(after, n.records.Grants[0].Value) {
-		t.Error("machines are missing with a chunk that can't be decoded")
+		t.Error("a chunk that can't be decoded changes the shard's machines")
 	}
-	// A schema of a later version stops this one.
+	// A newer schema version is not supported.
 	n.apply(storage.SchemaVersionKey, fmt.Appendf(nil, `{"form":%d}`, storage.SchemaLatest+1), revision+1)
 	if n.records.SupportsSchema() {
 		t.Error("supports a schema that it doesn't know")
 	}
 }
 
-// The upgrade needs the markers of all controllers, up or not, and is the
-// leader's. A marker of an older version does not count, and is written again.
+// The upgrade requires the markers of all controllers, whether they are up or not, and is
+// performed by the leader. A marker of an older version does not count and is rewritten.
 func TestSchemaNeedsAllVersionMarkers(t *testing.T) {
 	w := newWorld(1, nil)
 	var sent []protocol.Txn
@@ -158,7 +157,7 @@
 	}
 }
 
-// apply applies one change.
+// apply applies one change to the replicated records.
 func (n *Node) apply(path string, data []byte, revision uint64) {
 	change := protocol.Change{Put: path, Value: data, Revision: revision}
 	if data == nil {
--- a/internal/coordination/session.go
+++ b/internal/coordination/session.go
@@ -9,17 +9,17 @@
 	"reedtrack/internal/storage"
 )
 
-// controllerSession is the controller's own lease, and what is known of the
-// sessions of all controllers.
+// controllerSession is the controller's own session, and the known sessions of all
+// controllers.
 type controllerSession struct {
 	own              *session.Session
-	past             map[string]*session.History // sessions of each controller that are over
-	id               uint64                      // of the open session; 0: none
-	leaseValidUntil  time.Time                   // when the lease ends by this controller's clock
-	loggedHoldsLease bool                        // the last answer of holdsLease that was logged
+	past             map[string]*session.History // ended sessions, by controller
+	id               uint64                      // ID of the open session; 0: none
+	leaseValidUntil  time.Time                   // when the lease ends according to this controller's clock
+	loggedHoldsLease bool                        // last logged result of holdsLease
 }
 
-// leaseState says whether a controller may act, or why it may not. The values are
+// leaseState is whether a controller may act, or the reason why not. The values are
 // logged.
 type leaseState string
 
@@ -31,7 +31,7 @@
 	schemaUnsupported  leaseState = "schema unsupported"
 )
 
-// newControllerSession returns the state of a controller that has no session yet.
+// newControllerSession returns the state of a controller without a session.
 func newControllerSession(timing config.Timing, settings *config.Settings) controllerSession {
 	minRenewalInterval := storage.MinRenewalInterval(settings.Deployment.State.RPS, settings.Deployment.Count)
 	return controllerSession{
@@ -43,9 +43,9 @@
 // holdsLease reports whether this controller may act.
 func (n *Node) holdsLease(now time.Time) bool { return n.leaseState(now) == leaseHeld }
 
-// leaseState returns whether this controller may act: its lease at the store is
-// valid by its own clock, counted from when the last renewal was sent, its copy
-// of the records is recent, and it supports the schema version of the records.
+// leaseState returns leaseHeld if this controller may act: its lease at the store is valid
+// according to its own clock, counted from when the last successful renewal was sent, the
+// replicated records are recent, and it supports their schema version.
 func (n *Node) leaseState(now time.Time) leaseState {
 	switch {
 	case n.session.id == 0:
@@ -60,8 +60,8 @@
 	return leaseHeld
 }
 
-// applySession takes over the session's state: the session ID, and until when
-// this controller may act, which counts from when the last renewal was sent.
+// applySession adopts the session's state: the session ID, and until when this controller
+// may act, which counts from when the last successful renewal was sent.
 func (n *Node) applySession() {
 	current := n.session.own.Lease()
 	if current != n.session.id {
@@ -73,9 +73,8 @@
 	}
 }
 
-// replaceSession ends the present session, if one is open, and begins another,
-// unless its ID is 0. A session that is over takes the shards and the leadership
-// with it.
+// replaceSession ends the current session, if one is open, and starts another one, unless
+// its ID is 0. An ended session loses its shards and the leadership.
 func (n *Node) replaceSession(id uint64) {
 	if n.session.id != 0 {
 		slog.Warn("session expired", "session", n.session.id)
@@ -89,9 +88,9 @@
 	n.session.id = id
 }
 
-// checkOwnKey checks whether the copy of the records still shows this
-// controller's key. A key that is gone, or names another session, tells the
-// others that this session is over, whatever its lease says.
+// checkOwnKey checks whether the replicated records still contain this controller's key.
+// If the key is missing or names another session, the other controllers treat this session
+// as ended, regardless of its lease.
 func (n *Node) checkOwnKey() {
 	key := n.records.Controllers[n.settings.HostName]
 	if !n.session.own.ObserveKey(session.Key{Session: key.Value.Session, Revision: key.Revision}, n.records.AppliedRevision) {
--- a/internal/coordination/session_test.go
+++ b/internal/coordination/session_test.go
@@ -12,8 +12,8 @@
 	"reedtrack/internal/storage"
 )
 
-// startSingleController returns a world of one controller that has opened its
-// session, and a function that reads the controller's key and its revision.
+// startSingleController returns a world with one controller that has opened its session,
+// and a function that reads the controller's key and its revision.
 func startSingleController(t *testing.T) (w *world, key func() (storage.Controller, uint64)) {
 	t.Helper()
 	w = newWorld(1, nil)
@@ -33,8 +33,8 @@
 	}
 }
 
-// disableLinkFailures lets every answer arrive, and returns the controller's last
-// write of its own key.
+// disableLinkFailures stops the loss of answers, and returns the controller's last write
+// of its own key.
 func (w *world) disableLinkFailures() []byte {
 	link := w.nodes[0].wire
 	link.mu.Lock()
@@ -43,29 +43,28 @@
 	return link.lastOwnKeyTxn
 }
 
-// commit commits writes at the store, unconditionally.
+// commit commits writes to the store unconditionally.
 func (w *world) commit(writes ...protocol.Write) {
 	raw, _ := json.Marshal(protocol.Txn{Preconditions: []protocol.Precondition{}, Writes: writes})
 	w.store.Handle(w.ctx, http.MethodPost, "/multi", nil, raw)
 }
 
-// renewLease renews a lease at the store, and returns the status of the answer.
+// renewLease renews a lease at the store and returns the response status.
 func (w *world) renewLease(lease uint64) int {
 	status, _ := w.store.Handle(w.ctx, http.MethodPost, "/grants/"+jsonText(lease)+"/renew", nil, nil)
 	return status
 }
 
-// overwriteControllerKey writes a controller's key as a process of the previous
-// version does that has ended since: unconditionally, and under a lease that
-// nobody renews.
+// overwriteControllerKey writes a controller's key like a terminated process of the
+// previous version: unconditionally, and under a lease that is not renewed.
 func (w *world) overwriteControllerKey() {
 	_, answer := w.store.Handle(w.ctx, http.MethodPost, "/grants", nil, []byte(`{"life_ms":5000}`))
 	lease := answer.(protocol.LeaseGrant).LeaseID
 	w.commit(protocol.Write{Put: storage.ControllerKey("n0"), Value: storage.Controller{Name: "n0", Session: lease}, LeaseID: lease})
 }
 
-// A late write of the key by the previous process fails once the next has its
-// own key, though its lease may still be valid.
+// A late write of the key by the previous process fails once its successor has written its
+// own key, even if the previous lease is still valid.
 func TestLateKeyOfPreviousProcessFails(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w, key := startSingleController(t)
@@ -75,8 +74,8 @@
 		oldLease := first.session.own.Lease()
 		first.mu.Unlock()
 		time.Sleep(50 * time.Millisecond)
-		// The next finds no lease to revoke, as if the first had never had its
-		// key.
+		// The successor finds no lease to revoke, as if the first process had never
+		// written its key.
 		w.commit(protocol.Write{Delete: storage.ControllerKey("n0")})
 		w.start(0)
 		w.disableLinkFailures()
@@ -84,7 +83,7 @@
 		before, _ := key()
 		w.renewLease(oldLease)
 		if status, _ := w.store.Handle(w.ctx, http.MethodPost, "/multi", nil, lateTxn); status != http.StatusConflict {
-			t.Errorf("the late write answers %d", status)
+			t.Errorf("the late write got status %d", status)
 		}
 		if after, _ := key(); after != before || before.Session == 0 || before.Session == oldLease {
 			t.Errorf("the key named %v, and names %v after the late write", before, after)
@@ -92,11 +91,10 @@
 	})
 }
 
-// A controller whose key was overwritten, as by a late write of the previous
-// version, which is not conditional, or is gone, as when a lease expires at the
-// store alone, stops acting at once and comes back by itself with another
-// session. It once renewed a lease that nobody could see any more, and was
-// never granted anything again.
+// Guards against a controller that keeps renewing a lease that no key names any more, and
+// is never granted anything again. Its key was overwritten, as by an unconditional late
+// write of the previous version, or deleted, as when the lease expires at the store only.
+// The controller stops acting at once and recovers with a new session.
 func TestControllerDetectsLostKey(t *testing.T) {
 	for name, loseKey := range map[string]func(w *world){
 		"overwritten": func(w *world) { w.overwriteControllerKey() },
@@ -127,9 +125,8 @@
 	}
 }
 
-// A process that is back a moment later is its own successor: it has its shards
-// again long before its old lease would have expired, and that lease is
-// revoked.
+// A process that restarts quickly succeeds itself: it holds its shards again long before
+// its old lease would have expired, and the old lease is revoked.
 func TestQuickRestartKeepsShards(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w, key := startSingleController(t)
@@ -148,14 +145,14 @@
 			t.Errorf("holds lease %v, %d shards, session %d then %d", holdsLease, shardCount, before.Session, after.Session)
 		}
 		if status := w.renewLease(before.Session); status != http.StatusNotFound {
-			t.Errorf("the renewal of the previous process's lease answers %d", status)
+			t.Errorf("the renewal of the previous process's lease got status %d", status)
 		}
 	})
 }
 
-// A leader that ends between a scale-out call and its answer, and is back 0.1 s
-// later, knows nothing of what it requested: the machines show in the cloud's
-// list, are used, and what was requested beside them is released.
+// A leader that terminates between a scale-out call and its response, and restarts 0.1 s
+// later, has no record of the requested machines. They appear in the cloud's list and are
+// used, and surplus machines are released.
 func TestLeaderRestartDuringScaleOut(t *testing.T) {
 	for seed := range uint64(4) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) { checkLeaderRestartDuringScaleOut(t, seed) })
@@ -200,7 +197,7 @@
 		}
 		n.mu.Unlock()
 		if !ended || running != 6 || len(ungranted) > 0 || requested > 18 {
-			t.Errorf("ended %v, %d tasks run, %d machines are nobody's, %d were requested", ended, running, len(ungranted), requested)
+			t.Errorf("leader killed %v, %d tasks running, %d machines ungranted, %d requested", ended, running, len(ungranted), requested)
 		}
 		for _, violation := range w.violations {
 			t.Error(violation)
@@ -214,8 +211,7 @@
 	return string(raw)
 }
 
-// A delayed message of a process that has ended does not replace its
-// successor's.
+// A delayed message of a terminated process does not replace its successor's.
 func TestLateStatusOfPreviousProcessIsIgnored(t *testing.T) {
 	w := newWorld(1, nil)
 	n := New(w.settings, w.settings.Defaults(), nil, nil, nil, nil)
--- a/internal/coordination/standstill_test.go
+++ b/internal/coordination/standstill_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Guards against a holder that gives its session up after it stood still: nothing of the
-// workers or of the key-value store reached it, which says nothing of the workers.
+// Guards against a holder that steps down after its process was paused: it received
+// nothing from the workers or the key-value store, which says nothing about the workers.
 func TestHolderKeepsSessionAfterPause(t *testing.T) {
 	const standstill = 6 * time.Second // longer than a step-down takes, shorter than the lease
 	synctest.Test(t, func(t *testing.T) {
@@ -32,7 +32,7 @@
 	})
 }
 
-// sessionAndShards returns a controller's session and how many shards it holds.
+// sessionAndShards returns a controller's session and the number of shards it holds.
 func sessionAndShards(n *Node) (session uint64, shards int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/coordination/status_check.go
+++ b/internal/coordination/status_check.go
@@ -9,17 +9,17 @@
 	"reedtrack/internal/storage"
 )
 
-// statusValueError is a value in another controller's status that can't be true,
-// or names what this controller does not know. It is left out.
+// statusValueError reports a value in another controller's status that is impossible or
+// refers to something unknown to this controller. The value is ignored.
 type statusValueError struct {
-	from   string // the controller
+	from   string // controller that sent the status
 	shard  int
-	field  string // of ShardStatus
-	name   string // team, or type of machine
+	field  string // field of ShardStatus
+	name   string // team or machine type
 	reason string
 }
 
-// Error tells which value it is.
+// Error returns a message that identifies the value.
 func (e *statusValueError) Error() string {
 	return fmt.Sprintf("status of %s: shard %d: %s of %q %s", e.from, e.shard, e.field, e.name, e.reason)
 }
@@ -30,9 +30,8 @@
 	reasonOutOfRange = "is not between 0 and its limit"
 )
 
-// dropInvalidValues leaves out of a status what it says of its shards' machines
-// as far as that can't be true, and logs each error once. The status itself is
-// the sender's in tests: what changes is copied.
+// dropInvalidValues removes invalid values from a status and logs each distinct error
+// once. The modified parts are copied, since in tests the sender still uses the status.
 func (n *Node) dropInvalidValues(status *Status) {
 	status.Shards = slices.Clone(status.Shards)
 	for i := range status.Shards {
@@ -47,7 +46,7 @@
 	}
 }
 
-// logIfInvalid reports whether a check found an error, which it logs the first time.
+// logIfInvalid reports whether a check found an error, and logs the error the first time.
 func (n *Node) logIfInvalid(err *statusValueError) bool {
 	if err == nil {
 		return false
@@ -59,8 +58,8 @@
 	return true
 }
 
-// checkStartable returns what is wrong with what a shard is said to have machines
-// for, or nil.
+// checkStartable returns an error if a shard's startable resources for a team are invalid,
+// or nil.
 func (n *Node) checkStartable(from string, shard int, team string, amount storage.Resources) *statusValueError {
 	quota, known := n.teams[team]
 	if !known {
@@ -72,14 +71,13 @@
 	return nil
 }
 
-// isWithin reports whether an amount is a number from 0 to a limit; a limit of 0
-// is none.
+// isWithin reports whether an amount is between 0 and the limit; a limit of 0 means no
+// limit.
 func isWithin(amount, limit float64) bool {
 	return amount >= 0 && (limit <= 0 || amount <= limit+amountTolerance)
 }
 
-// checkRoom returns what is wrong with the room that a shard is said to have, or
-// nil.
+// checkRoom returns an error if a shard's free room is invalid, or nil.
 func (n *Node) checkRoom(from string, shard int, room machineRoom) *statusValueError {
 	size, known := n.records.MachineSize(room.Kind.MachineType)
 	if !known {
--- a/internal/coordination/status_exchange.go
+++ b/internal/coordination/status_exchange.go
@@ -10,20 +10,20 @@
 	"reedtrack/internal/storage"
 )
 
-// Status is what a controller sends to the others about itself, twice a second.
-// The tags keep the field names that former versions send.
+// Status is the status that a controller sends to its peers twice a second. The tags keep
+// the field names of former versions.
 type Status struct {
 	From        string        `cbor:"From"`
 	Session     uint64        `cbor:"Session"`
 	HoldsLease  bool          `cbor:"Valid"`
-	Utilization float64       `cbor:"Busy"` // part of its processor share in use
+	Utilization float64       `cbor:"Busy"` // fraction of its CPU share in use
 	Shards      []ShardStatus `cbor:"Shards"`
 	Cordoned    []string      `cbor:"Bad"`
 
 	receivedAt time.Time
 }
 
-// ShardStatus is what the holder of a shard has, uses and asks for.
+// ShardStatus is the state and the requests of a shard, as sent by its holder.
 type ShardStatus struct {
 	Index          int                          `cbor:"Index"`
 	FencingToken   uint64                       `cbor:"Term"`
@@ -33,18 +33,19 @@
 	SuitableKinds  []machineKind                `cbor:"Fits"`
 	Used           map[string]storage.Resources `cbor:"Used"`
 	Desired        map[string]storage.Resources `cbor:"Wanted"`
-	// The least that a pending task needs, by team. It is sent once every
-	// controller runs a version that knows it.
+	// SmallestTask is the smallest resource need of a pending task, by team. It is sent
+	// once every controller runs a version that supports it.
 	SmallestTask map[string]storage.Resources `cbor:"Units,omitempty"`
 	Running      map[string]int               `cbor:"Running"`
-	// Startable is the part of Desired that the shard has machines for, by team,
-	// where that is less; Room is free capacity that none of the shard's own tasks
-	// takes. Both are sent once every controller runs a version that knows them.
+	// Startable is the part of Desired that the shard has machines for, by team, where
+	// that is less than Desired. Room is free capacity that none of the shard's own tasks
+	// takes. Both are sent once every controller runs a version that supports them.
 	Startable map[string]storage.Resources `cbor:"Startable,omitempty"`
 	Room      []machineRoom                `cbor:"Room,omitempty"`
 }
 
-// StatusReply answers a Status; only the leader's says more than that it is up.
+// StatusReply is the reply to a Status. Only the leader fills in more than the sender and
+// whether it holds its lease.
 type StatusReply struct {
 	From       string        `cbor:"From"`
 	HoldsLease bool          `cbor:"Valid"`
@@ -54,7 +55,7 @@
 	Removed    []string      `cbor:"Gone"`
 }
 
-// ShardReply tells a holder which machines boot for its shard.
+// ShardReply contains the booting machines of a holder's shard.
 type ShardReply struct {
 	Index          int              `cbor:"Index"`
 	BootingVersion uint64           `cbor:"Ver"`
@@ -64,15 +65,14 @@
 const (
 	// statusInterval is how often each pair of controllers exchanges statuses.
 	statusInterval = 500 * time.Millisecond
-	// statusTimeout is how long a peer's reply is waited for.
+	// statusTimeout is how long to wait for a peer's reply.
 	statusTimeout = time.Second
-	// statusValidity is how long a status, or what a reply says, counts: a few
-	// exchanges may fail.
+	// statusValidity is how long a status or reply remains valid: a few exchanges may
+	// fail.
 	statusValidity = 4 * statusInterval
 )
 
-// statusExchangeLoop sends this controller's status to a peer and applies the
-// replies.
+// statusExchangeLoop sends this controller's status to a peer and applies the replies.
 func (n *Node) statusExchangeLoop(ctx context.Context, name string, peer Peer) {
 	for ctx.Err() == nil {
 		status := n.currentStatus()
@@ -89,8 +89,8 @@
 	}
 }
 
-// currentStatus returns the status to send to the others: the same for all
-// peers, built anew for each round.
+// currentStatus returns the status to send to the peers. It is rebuilt once per round and
+// shared by all peers.
 func (n *Node) currentStatus() *Status {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -102,8 +102,8 @@
 	return n.publishedStatus
 }
 
-// buildStatus returns the status of this controller. It is sent without the
-// lock, so it shares nothing that changes.
+// buildStatus returns the status of this controller. It is encoded without holding the
+// lock, so it shares no mutable state.
 func (n *Node) buildStatus() *Status {
 	status := &Status{
 		From:        n.settings.HostName,
@@ -123,16 +123,15 @@
 	return status
 }
 
-// buildShardStatus returns what a shard of this controller has, uses and asks
-// for.
+// buildShardStatus returns the status of a shard of this controller.
 func (n *Node) buildShardStatus(s *shard) ShardStatus {
 	status := ShardStatus{
 		Index:          s.index,
 		FencingToken:   s.fencingToken,
 		BootingVersion: s.bootingVersion,
 		BootingCores:   n.bootingCores(s),
-		// Unlike slices.Clone, append gives nil for what is empty: the two are
-		// encoded differently.
+		// Unlike slices.Clone, append returns nil for an empty slice; nil and empty slices
+		// are encoded differently.
 		ScaleOut:      append([]machineRequest(nil), s.scaleOut...),
 		SuitableKinds: append([]machineKind(nil), s.suitableKinds...),
 		Used:          maps.Clone(s.used),
@@ -154,7 +153,7 @@
 	return status
 }
 
-// ReceiveStatus applies another controller's status and answers it.
+// ReceiveStatus applies another controller's status and returns the reply.
 func (n *Node) ReceiveStatus(status Status) StatusReply {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -162,8 +161,8 @@
 	status.receivedAt = now
 	reply := StatusReply{From: n.settings.HostName, HoldsLease: n.holdsLease(now)}
 	if pastSessions := n.session.past[status.From]; pastSessions != nil && pastSessions.IsExpired(status.Session) {
-		// A message of a process that has ended may be delayed and arrive
-		// minutes after its successor's.
+		// A delayed message of a terminated process may arrive minutes after those of its
+		// successor.
 		return reply
 	}
 	n.dropInvalidValues(&status)
@@ -175,8 +174,8 @@
 	return reply
 }
 
-// applyStatusReply applies a peer's reply; the leader's tells what boots and
-// which machines were removed.
+// applyStatusReply applies a peer's reply. The leader's reply also contains booting and
+// removed machines.
 func (n *Node) applyStatusReply(reply *StatusReply) {
 	now := n.now()
 	if peer := n.peerStatus[reply.From]; peer != nil {
@@ -192,7 +191,7 @@
 		}
 		s.bootingVersion = shardReply.BootingVersion
 		s.setBooting(shardReply.Booting, now)
-		s.scaleOut = s.scaleOut[:0] // planned again before it is sent again
+		s.scaleOut = s.scaleOut[:0] // replanned before it is sent again
 		n.wakeLoops()
 	}
 	clear(n.noCapacityUntil)
@@ -204,9 +203,9 @@
 	}
 }
 
-// IsReady reports whether this controller should get users' requests: it holds
-// its lease, or no other does either, as in an outage of the store, when a
-// quick refusal serves users better than none.
+// IsReady reports whether this controller should receive user requests: it holds its
+// lease, or no other controller does either, as during an outage of the store, when a
+// quick refusal serves users better than no answer.
 func (n *Node) IsReady() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
