--- a/internal/coordination/cancellation.go
+++ b/internal/coordination/cancellation.go
@@ -60,7 +60,7 @@
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.ends.add(spec.ID, end)
+	n.endedJobs.add(spec.ID, end)
 	n.resolveDependencies()
 	return end, nil
 }
--- a/internal/coordination/delegation_delay_order_test.go
+++ b/internal/coordination/delegation_delay_order_test.go
@@ -56,18 +56,18 @@
 // answer of a proxy.
 type delayCase struct {
 	name       string
-	cuts       []fault           // default: one from 60 s to 120 s
+	partitions []fault           // default: one from 60 s to 120 s
 	unanswered map[writeKind]int // number of first attempts per key that get no answer
 	// executedAfter is the minimum time after the start of the last partition at which one
 	// of them must be executed.
 	executedAfter time.Duration
-	// others are kinds of other writes of which the first gets no answer,
+	// competingWrites are kinds of other writes of which the first gets no answer,
 	// starting in the second before the delegation is due, for each proxy, or, with
 	// beforeAck, before the acknowledgement is due, for the holder.
-	others    []writeKind
-	beforeAck bool
-	mute      string // controller whose delegations are rejected
-	inCI      bool   // run without -all too
+	competingWrites  []writeKind
+	beforeAck        bool
+	deniedController string // controller whose delegations are rejected
+	inCI             bool   // run without -all too
 }
 
 // partitionAt returns a network partition between the zones.
@@ -81,10 +81,10 @@
 	{name: "unanswered acknowledgement", unanswered: map[writeKind]int{ackWrite: 1}},
 	{name: "unanswered delegation and acknowledgement", inCI: true, unanswered: map[writeKind]int{delegationWrite: 1, ackWrite: 1}},
 	{name: "late delegation after the repeated one", unanswered: map[writeKind]int{delegationWrite: 1}, executedAfter: lateWriteDelay},
-	{name: "late delegation after the partition", inCI: true, unanswered: map[writeKind]int{delegationWrite: 1}, cuts: []fault{partitionAt(60*sec, 8*sec)}, executedAfter: 9 * sec},
-	{name: "late acknowledgement after the partition", unanswered: map[writeKind]int{ackWrite: 1}, cuts: []fault{partitionAt(60*sec, 8*sec)}, executedAfter: 9 * sec},
-	{name: "late removal", inCI: true, unanswered: map[writeKind]int{removalWrite: 1}, cuts: []fault{partitionAt(60*sec, 10*sec), partitionAt(71*sec, 49*sec)}, executedAfter: 2 * sec},
-	{name: "another proxy may answer", inCI: true, mute: "n2"},
+	{name: "late delegation after the partition", inCI: true, unanswered: map[writeKind]int{delegationWrite: 1}, partitions: []fault{partitionAt(60*sec, 8*sec)}, executedAfter: 9 * sec},
+	{name: "late acknowledgement after the partition", unanswered: map[writeKind]int{ackWrite: 1}, partitions: []fault{partitionAt(60*sec, 8*sec)}, executedAfter: 9 * sec},
+	{name: "late removal", inCI: true, unanswered: map[writeKind]int{removalWrite: 1}, partitions: []fault{partitionAt(60*sec, 10*sec), partitionAt(71*sec, 49*sec)}, executedAfter: 2 * sec},
+	{name: "another proxy may answer", inCI: true, deniedController: "n2"},
 	{name: "two unanswered delegations and acknowledgements", inCI: true, unanswered: map[writeKind]int{delegationWrite: 2, ackWrite: 2}},
 }, competingWriteCases()...)
 
@@ -93,40 +93,40 @@
 func competingWriteCases() (cases []delayCase) {
 	kinds := []writeKind{jobEndWrite, progressWrite, grantWrite, migrationWrite, staleWrite}
 	for _, kind := range append(kinds, schemaWrite) {
-		cases = append(cases, delayCase{name: fmt.Sprintf("%s before the delegation", kind), others: []writeKind{kind}},
-			delayCase{name: fmt.Sprintf("%s before the acknowledgement", kind), others: []writeKind{kind}, beforeAck: true})
+		cases = append(cases, delayCase{name: fmt.Sprintf("%s before the delegation", kind), competingWrites: []writeKind{kind}},
+			delayCase{name: fmt.Sprintf("%s before the acknowledgement", kind), competingWrites: []writeKind{kind}, beforeAck: true})
 	}
-	cases = append(cases, delayCase{name: "several writes before the delegation", others: kinds, inCI: true},
-		delayCase{name: "several writes before the acknowledgement", others: kinds, beforeAck: true})
+	cases = append(cases, delayCase{name: "several writes before the delegation", competingWrites: kinds, inCI: true},
+		delayCase{name: "several writes before the acknowledgement", competingWrites: kinds, beforeAck: true})
 	return cases
 }
 
 // lastPartition returns the partition for which the delays are measured.
-func (c *delayCase) lastPartition() fault { return c.cuts[len(c.cuts)-1] }
+func (c *delayCase) lastPartition() fault { return c.partitions[len(c.partitions)-1] }
 
 // play runs the case with a seed: long jobs run in both zones, and short jobs cause the
 // competing writes. Nothing is lost at random.
 func (c delayCase) play(t *testing.T, seed uint64) *delayOrder {
-	if len(c.cuts) == 0 {
-		c.cuts = []fault{partitionAt(60*sec, 60*sec)}
+	if len(c.partitions) == 0 {
+		c.partitions = []fault{partitionAt(60*sec, 60*sec)}
 	}
 	o := &delayOrder{delayCase: &c, attempts: map[string]int{}, sent: map[string]bool{}, forced: map[writeKind]int{}, inTheWay: map[string]int{}}
 	synctest.Test(t, func(t *testing.T) {
 		o.w = newWorld(seed, nil)
-		isCrowded := len(c.others) == 1 && c.others[0] == migrationWrite // jobs migrate only where room is scarce
+		isCrowded := len(c.competingWrites) == 1 && c.competingWrites[0] == migrationWrite // jobs migrate only where room is scarce
 		if !isCrowded {
 			o.w.allowMachines(24)
 			o.w.fillMachines = 1 // so that several shards get jobs
 		}
-		o.w.linkLoss, o.w.txnFailureRate, o.w.script = linkLoss{}, 0, c.cuts
+		o.w.linkLoss, o.w.txnFailureRate, o.w.script = linkLoss{}, 0, c.partitions
 		longJobs, shortJobs := 24, 0
 		if isCrowded {
 			longJobs = 16
 		}
-		if len(c.others) > 0 {
+		if len(c.competingWrites) > 0 {
 			shortJobs = 12
 		}
-		if slices.Contains(c.others, schemaWrite) {
+		if slices.Contains(c.competingWrites, schemaWrite) {
 			o.w.setSchema(t, storage.SchemaLatest-1)
 		}
 		o.w.adjustJob = func(k int, j *protocol.Job, u *user) {
@@ -168,7 +168,7 @@
 	hasLanded := slices.ContainsFunc(o.landings, func(at time.Duration) bool { return at > o.executedAfter })
 	mostInTheWay := slices.Max(append(slices.Collect(maps.Values(o.inTheWay)), 0))
 	return len(o.machines) > 0 && (len(o.unanswered) == 0 || hasLanded) &&
-		mostInTheWay >= min(len(o.others), 2) && (o.mute == "" || o.asked > 0)
+		mostInTheWay >= min(len(o.competingWrites), 2) && (o.deniedController == "" || o.asked > 0)
 }
 
 // recordLeftoverRecords records which delegations and acknowledgements exist after all
--- a/internal/coordination/delegation_fences_test.go
+++ b/internal/coordination/delegation_fences_test.go
@@ -29,15 +29,15 @@
 	s.place(j, j.takePendingTask(), m)
 	message := directTarget{s, m}.buildMessage(now)
 	s.finishDirect(&message, DirectAnswer{}, now)
-	put(t, n, storage.SchemaVersionKey, storage.SchemaVersion{Version: schema}, 10)
-	put(t, n, storage.FencingTokenKey, storage.FencingTokenCounter{Last: 6}, 11)
-	put(t, n, storage.DelegationKey(testDelegation), storage.Delegation{Session: 5, FencingToken: 1, Machines: []string{"a"}}, 12)
+	applyRecord(t, n, storage.SchemaVersionKey, storage.SchemaVersion{Version: schema}, 10)
+	applyRecord(t, n, storage.FencingTokenKey, storage.FencingTokenCounter{Last: 6}, 11)
+	applyRecord(t, n, storage.DelegationKey(testDelegation), storage.Delegation{Session: 5, FencingToken: 1, Machines: []string{"a"}}, 12)
 	n.shards[0] = s
 	return n, s, m
 }
 
-// put applies a record to a controller's replicated records.
-func put(t testing.TB, n *Node, key string, value any, revision uint64) {
+// applyRecord applies a record to a controller's replicated records.
+func applyRecord(t testing.TB, n *Node, key string, value any, revision uint64) {
 	t.Helper()
 	raw, err := json.Marshal(value)
 	if err != nil {
@@ -78,8 +78,8 @@
 	if s.machineToken(m) != 2 {
 		t.Error("the token is used before it is known to be minted")
 	}
-	put(t, n, storage.FencingTokenKey, storage.FencingTokenCounter{Last: 7}, 13)
-	put(t, n, storage.DelegationAckKey(testDelegation), ack, 13)
+	applyRecord(t, n, storage.FencingTokenKey, storage.FencingTokenCounter{Last: 7}, 13)
+	applyRecord(t, n, storage.DelegationAckKey(testDelegation), ack, 13)
 	if s.machineToken(m) != 7 || m.hasStartInFlight() || len(n.acknowledgementTxns()) != 0 {
 		t.Errorf("token %d, start in flight %v", s.machineToken(m), m.hasStartInFlight())
 	}
@@ -193,7 +193,7 @@
 	for rest := names; len(rest) > 0; records++ {
 		count := countFitting(rest, n.storeLimits().MaxValueBytes()/delegationSizeDivisor)
 		id := storage.DelegationID{Shard: 0, Controller: "n1", Record: records}
-		put(t, n, storage.DelegationKey(id), storage.Delegation{Session: 5, FencingToken: 1, Machines: rest[:count]}, revision)
+		applyRecord(t, n, storage.DelegationKey(id), storage.Delegation{Session: 5, FencingToken: 1, Machines: rest[:count]}, revision)
 		rest, revision = rest[count:], revision+1
 	}
 	turns := 0
@@ -208,7 +208,7 @@
 				if len(raw) > n.storeLimits().MaxValueBytes() {
 					t.Fatalf("a value of %d bytes", len(raw))
 				}
-				put(t, n, write.Put, write.Value, revision)
+				applyRecord(t, n, write.Put, write.Value, revision)
 			}
 			revision++
 		}
--- a/internal/coordination/delegation_writes_test.go
+++ b/internal/coordination/delegation_writes_test.go
@@ -20,10 +20,10 @@
 	n.session.id = 5
 	n.session.leaseValidUntil = time.Now().Add(relayTestLease)
 	n.records.Loaded, n.records.SyncedAt = true, time.Now()
-	put(t, n, storage.SchemaVersionKey, storage.SchemaVersion{Version: storage.SchemaHeartbeatRelays}, 10)
-	put(t, n, storage.ControllerKey("n0"), storage.Controller{Name: "n0", Session: 4}, 11)
-	put(t, n, storage.ShardKey(0), storage.ShardLease{Holder: storage.Controller{Name: "n0", Session: 4}, FencingToken: 1}, 12)
-	put(t, n, storage.GrantKey(0), storage.Grant{Machines: []storage.MachineLease{{Machine: "a", MachineType: "small", Zone: "b", FencingToken: 2}}}, 13)
+	applyRecord(t, n, storage.SchemaVersionKey, storage.SchemaVersion{Version: storage.SchemaHeartbeatRelays}, 10)
+	applyRecord(t, n, storage.ControllerKey("n0"), storage.Controller{Name: "n0", Session: 4}, 11)
+	applyRecord(t, n, storage.ShardKey(0), storage.ShardLease{Holder: storage.Controller{Name: "n0", Session: 4}, FencingToken: 1}, 12)
+	applyRecord(t, n, storage.GrantKey(0), storage.Grant{Machines: []storage.MachineLease{{Machine: "a", MachineType: "small", Zone: "b", FencingToken: 2}}}, 13)
 	n.heartbeatProxy.firstCalled["n0"] = time.Now().Add(-time.Minute)
 	return n
 }
@@ -34,7 +34,7 @@
 func TestLateDelegationIsRemoved(t *testing.T) {
 	n := newProxyNode(t)
 	n.heartbeatProxy.lastReached["n0"] = time.Now()
-	put(t, n, storage.DelegationKey(testDelegation), storage.Delegation{Session: 5, FencingToken: 1, Machines: []string{"a"}}, 20)
+	applyRecord(t, n, storage.DelegationKey(testDelegation), storage.Delegation{Session: 5, FencingToken: 1, Machines: []string{"a"}}, 20)
 	n.updateDelegations(time.Now())
 	txns := n.delegationTxns(time.Now())
 	removal := protocol.Write{Delete: storage.DelegationKey(testDelegation)}
@@ -47,9 +47,9 @@
 // one: the holder may have expired the machine between the two.
 func TestNewSessionDropsDelegations(t *testing.T) {
 	n := newProxyNode(t)
-	n.refresh()
-	delegate(t, n, testDelegation, true)
-	n.refresh()
+	n.refreshRecords()
+	applyDelegation(t, n, testDelegation, true)
+	n.refreshRecords()
 	if answer := n.Heartbeat(zoneHeartbeat(1)); answer.Status != http.StatusOK {
 		t.Fatalf("%+v", answer)
 	}
--- a/internal/coordination/dependencies.go
+++ b/internal/coordination/dependencies.go
@@ -37,7 +37,7 @@
 	blockedCount := n.updateShardJobs(now)
 	transport.BlockedJobs.Set(float64(blockedCount))
 	foundCancelled := n.noteCancelled(now)
-	if foundCancelled || len(n.ends.unknown) > 0 {
+	if foundCancelled || len(n.endedJobs.unknown) > 0 {
 		signal(n.wake.dependencies)
 	}
 }
@@ -48,7 +48,7 @@
 func (n *Node) evaluateAllDependencies() dependentIndex {
 	dependents := dependentIndex{}
 	var cancelled []*clusterstate.JobRecord
-	clear(n.ends.unknown)
+	clear(n.endedJobs.unknown)
 	for _, jr := range n.records.Jobs {
 		if len(jr.Record.Spec.DependsOn) == 0 {
 			continue
@@ -87,7 +87,7 @@
 			unknown = true
 			if n.shards[jr.Record.Shard] != nil {
 				state.Pending = true
-				n.ends.unknown[id] = true
+				n.endedJobs.unknown[id] = true
 			}
 		}
 	}
@@ -217,7 +217,7 @@
 	if !n.holdsLease(now) {
 		return nil, nil
 	}
-	for id := range n.ends.unknown {
+	for id := range n.endedJobs.unknown {
 		unknownEnds = append(unknownEnds, id)
 	}
 	for _, jr := range n.records.Jobs {
--- a/internal/coordination/dependencies_test.go
+++ b/internal/coordination/dependencies_test.go
@@ -24,7 +24,7 @@
 		j.Tasks = 1
 	}
 	raw, _ := json.Marshal(storage.Job{Spec: j, AcceptedAtMS: n.now().UnixMilli()})
-	n.apply(storage.JobKey(j.ID), raw, revision)
+	n.applyChange(storage.JobKey(j.ID), raw, revision)
 }
 
 // A job is blocked until every dependency has a stored end and is done: a
@@ -48,18 +48,18 @@
 	if !j.blocked || queued() || !n.records.Jobs["wk-3"].IsBlocked() {
 		t.Fatal("not blocked by a job that is only reported done")
 	}
-	n.apply(storage.JobKey("wk-1"), nil, 8)
-	n.apply(storage.JobKey("wk-2"), nil, 9)
-	if !j.blocked || !n.ends.unknown["wk-1"] || !n.ends.unknown["wk-2"] {
+	n.applyChange(storage.JobKey("wk-1"), nil, 8)
+	n.applyChange(storage.JobKey("wk-2"), nil, 9)
+	if !j.blocked || !n.endedJobs.unknown["wk-1"] || !n.endedJobs.unknown["wk-2"] {
 		t.Fatal("unblocked by records that are missing")
 	}
 	endedMS := time.Now().Add(-time.Minute).UnixMilli()
-	n.ends.add("wk-1", storage.EndedJob{Status: protocol.Done, EndedAtMS: endedMS})
+	n.endedJobs.add("wk-1", storage.EndedJob{Status: protocol.Done, EndedAtMS: endedMS})
 	n.resolveDependencies()
 	if !j.blocked {
 		t.Fatal("unblocked by one end of two")
 	}
-	n.ends.add("wk-2", storage.EndedJob{Status: protocol.Done}) // by the previous version
+	n.endedJobs.add("wk-2", storage.EndedJob{Status: protocol.Done}) // by the previous version
 	n.resolveDependencies()
 	if j.blocked || !queued() || j.submittedMS != n.records.Jobs["wk-3"].Record.AcceptedAtMS {
 		t.Errorf("blocked %v, counts from %d", j.blocked, j.submittedMS)
@@ -82,7 +82,7 @@
 	if state := n.records.Jobs["wk-1"].Dependencies; state.Urgency != protocol.PriorityHigh || state.DeadlineMS != acceptedMS+100e3-5e3-20e3 {
 		t.Errorf("%+v, due 75 s from %f", state, acceptedMS)
 	}
-	n.apply(storage.JobKey("wk-3"), nil, 8)
+	n.applyChange(storage.JobKey("wk-3"), nil, 8)
 	if state := n.records.Jobs["wk-1"].Dependencies; state.Urgency != protocol.PriorityNormal || !math.IsInf(state.DeadlineMS, 1) {
 		t.Errorf("after the last dependent was cancelled: %+v", state)
 	}
@@ -164,7 +164,7 @@
 func TestCompletionChunksKeepAll(t *testing.T) {
 	w := newWorld(1, nil)
 	n := New(w.settings, w.settings.Defaults(), nil, nil, nil, nil)
-	n.apply(storage.SchemaVersionKey, []byte(`{"form":2}`), 1)
+	n.applyChange(storage.SchemaVersionKey, []byte(`{"form":2}`), 1)
 	w.settings.Deployment.State.ValueKB = 2
 	const tasks = 100000
 	applyLiveJob(n, 5, protocol.Job{ID: "wk-1", Tasks: tasks})
@@ -182,7 +182,7 @@
 		if len(raw) > 2<<10 {
 			t.Fatalf("%d bytes in a chunk", len(raw))
 		}
-		n.apply(storage.CompletionChunkKey("wk-1", chunk.FirstIndex), raw, revision)
+		n.applyChange(storage.CompletionChunkKey("wk-1", chunk.FirstIndex), raw, revision)
 		revision++
 	}
 	got, err := n.records.DoneTasks(n.records.Jobs["wk-1"])
--- a/internal/coordination/dependency_requests.go
+++ b/internal/coordination/dependency_requests.go
@@ -118,7 +118,7 @@
 // answers as well: whether a job was accepted, and as what.
 func (n *Node) lookupDependency(ctx context.Context, id string) (storedJob, error) {
 	n.mu.Lock()
-	end, ended := n.ends.get(id)
+	end, ended := n.endedJobs.get(id)
 	live := n.records.Jobs[id]
 	n.mu.Unlock()
 	switch {
--- a/internal/coordination/guards_test.go
+++ b/internal/coordination/guards_test.go
@@ -265,7 +265,7 @@
 	n.shards[0] = s
 	job := func(shard int, stamp uint64) {
 		raw, _ := json.Marshal(storage.Job{Shard: shard, Spec: protocol.Job{ID: "wk-1", Team: "red", Type: "array", Tasks: 12, Cores: 1, EstimatedSeconds: 9}})
-		n.apply(storage.JobKey("wk-1"), raw, stamp)
+		n.applyChange(storage.JobKey("wk-1"), raw, stamp)
 	}
 	job(0, 9)
 	s.jobs["wk-1"].receivedAt = time.Now().Add(-time.Minute)
@@ -331,19 +331,19 @@
 	w := newWorld(1, nil)
 	st := storage.NewClientWithTransport(roundTripFunc(func(*http.Request) (*http.Response, error) { return nil, errors.New("lost") }), 1000, 1000, 1)
 	n := New(w.settings, w.settings.Defaults(), st, nil, nil, nil)
-	n.apply(storage.SchemaVersionKey, []byte(`{"form":2}`), 1)
-	n.apply(storage.GrantKey(0), []byte(`{"blocks":"in pieces","of":9,"shares":{"red":{"c":14}}}`), 2)
+	n.applyChange(storage.SchemaVersionKey, []byte(`{"form":2}`), 1)
+	n.applyChange(storage.GrantKey(0), []byte(`{"blocks":"in pieces","of":9,"shares":{"red":{"c":14}}}`), 2)
 	s := newShard(0, storage.ShardLease{FencingToken: 1}, 1, time.Now())
 	s.setGrant(n.records.Grants[0].Value, size4, time.Now())
 	n.shards[0] = s
 	n.peerStatus["n1"] = &Status{Shards: []ShardStatus{{Index: 1, Desired: map[string]storage.Resources{"red": {Cores: 5}}}}}
 	n.writeGrants(context.Background())
 	raw, _ := json.Marshal(storage.GrantChunk{Generation: 9, Machines: []storage.MachineLease{{Machine: "a", MachineType: "small", Zone: "a", FencingToken: 2}}})
-	n.apply(storage.GrantChunkKey(0, 0), raw, 3)
+	n.applyChange(storage.GrantChunkKey(0, 0), raw, 3)
 	if s.shares["red"].Cores != 0 || s.machines["a"] == nil {
 		t.Fatalf("share %v, machines %v", s.shares["red"], s.machines)
 	}
-	n.apply(storage.GrantKey(0), []byte(`{"blocks":"in pieces","of":9,"shares":{"red":{"c":4}}}`), 4)
+	n.applyChange(storage.GrantKey(0), []byte(`{"blocks":"in pieces","of":9,"shares":{"red":{"c":4}}}`), 4)
 	if s.shares["red"].Cores != 4 {
 		t.Errorf("newer record not applied: %v", s.shares["red"])
 	}
--- a/internal/coordination/heartbeat_relay_test.go
+++ b/internal/coordination/heartbeat_relay_test.go
@@ -77,9 +77,9 @@
 		n.session.id = uint64(4 + i)
 		n.session.leaseValidUntil = p.now.Add(relayTestLease)
 		n.records.Loaded, n.records.SyncedAt = true, p.now
-		put(t, n, storage.SchemaVersionKey, storage.SchemaVersion{Version: schema}, 10)
-		put(t, n, storage.ShardKey(0), storage.ShardLease{Holder: storage.Controller{Name: "n0", Session: 4}, FencingToken: 1}, 11)
-		put(t, n, storage.GrantKey(0), storage.Grant{Machines: []storage.MachineLease{m.lease}}, 12)
+		applyRecord(t, n, storage.SchemaVersionKey, storage.SchemaVersion{Version: schema}, 10)
+		applyRecord(t, n, storage.ShardKey(0), storage.ShardLease{Holder: storage.Controller{Name: "n0", Session: 4}, FencingToken: 1}, 11)
+		applyRecord(t, n, storage.GrantKey(0), storage.Grant{Machines: []storage.MachineLease{m.lease}}, 12)
 	}
 	p.relay.heartbeatProxy.firstCalled["n0"] = p.now
 	p.relay.heartbeatProxy.lastReached["n0"] = p.now
@@ -180,7 +180,7 @@
 	}
 	p = newRelayPair(t, storage.SchemaHeartbeatRelays)
 	delete(p.holder.shards, 0)
-	put(t, p.holder, storage.ShardKey(0), storage.ShardLease{Holder: storage.Controller{Name: "n2", Session: 9}, FencingToken: 3}, 13)
+	applyRecord(t, p.holder, storage.ShardKey(0), storage.ShardLease{Holder: storage.Controller{Name: "n2", Session: 9}, FencingToken: 3}, 13)
 	if answer := p.relay.Heartbeat(p.heartbeat(2)); answer.Status != http.StatusMisdirectedRequest || answer.RedirectTo != "n2" {
 		t.Errorf("another controller holds the shard: %+v", answer)
 	}
--- a/internal/coordination/heartbeat_wait_bench_test.go
+++ b/internal/coordination/heartbeat_wait_bench_test.go
@@ -28,9 +28,9 @@
 			names = append(names, name)
 			leases = append(leases, storage.MachineLease{Machine: name, MachineType: "small", Zone: "b", FencingToken: 2})
 		}
-		put(b, n, storage.GrantKey(0), storage.Grant{Machines: leases}, 14)
-		put(b, n, storage.DelegationKey(testDelegation), storage.Delegation{Session: 5, FencingToken: 1, Machines: names}, 20)
-		n.refresh()
+		applyRecord(b, n, storage.GrantKey(0), storage.Grant{Machines: leases}, 14)
+		applyRecord(b, n, storage.DelegationKey(testDelegation), storage.Delegation{Session: 5, FencingToken: 1, Machines: names}, 20)
+		n.refreshRecords()
 		b.StartTimer()
 		var waiting sync.WaitGroup
 		for _, name := range names {
@@ -47,8 +47,8 @@
 			waitingCount = n.heartbeatProxy.waitingHeartbeats
 			n.mu.Unlock()
 		}
-		put(b, n, storage.DelegationAckKey(testDelegation), storage.DelegationAck{DelegationRevision: 20, Session: 4, FencingToken: 1, Machines: names}, 21)
-		n.refresh()
+		applyRecord(b, n, storage.DelegationAckKey(testDelegation), storage.DelegationAck{DelegationRevision: 20, Session: 4, FencingToken: 1, Machines: names}, 21)
+		n.refreshRecords()
 		waiting.Wait()
 	}
 }
--- a/internal/coordination/heartbeat_wait_test.go
+++ b/internal/coordination/heartbeat_wait_test.go
@@ -16,18 +16,18 @@
 	return &protocol.Heartbeat{Machine: "a", Address: "a:1", MachineType: "small", Zone: "b", Session: 1, Sequence: sequence, FencingToken: 2}
 }
 
-// delegate applies a delegation of the machine to the records and, if acknowledged,
+// applyDelegation applies a delegation of the machine to the records and, if acknowledged,
 // its acknowledgement by the shard's holder.
-func delegate(t *testing.T, n *Node, id storage.DelegationID, acknowledged bool) {
+func applyDelegation(t *testing.T, n *Node, id storage.DelegationID, acknowledged bool) {
 	t.Helper()
-	put(t, n, storage.DelegationKey(id), storage.Delegation{Session: 5, FencingToken: 1, Machines: []string{"a"}}, 20)
+	applyRecord(t, n, storage.DelegationKey(id), storage.Delegation{Session: 5, FencingToken: 1, Machines: []string{"a"}}, 20)
 	if acknowledged {
-		put(t, n, storage.DelegationAckKey(id), storage.DelegationAck{DelegationRevision: 20, Session: 4, FencingToken: 1, Machines: []string{"a"}}, 21)
+		applyRecord(t, n, storage.DelegationAckKey(id), storage.DelegationAck{DelegationRevision: 20, Session: 4, FencingToken: 1, Machines: []string{"a"}}, 21)
 	}
 }
 
-// refresh marks the replicated records as recent and updates the delegations.
-func (n *Node) refresh() {
+// refreshRecords marks the replicated records as recent and updates the delegations.
+func (n *Node) refreshRecords() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.records.SyncedAt = n.now()
@@ -49,15 +49,15 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				n := newProxyNode(t)
-				n.refresh()
-				delegate(t, n, testDelegation, false)
-				n.refresh()
+				n.refreshRecords()
+				applyDelegation(t, n, testDelegation, false)
+				n.refreshRecords()
 				if c.after > 0 {
 					time.AfterFunc(c.after, func() {
 						n.mu.Lock()
-						delegate(t, n, testDelegation, true)
+						applyDelegation(t, n, testDelegation, true)
 						n.mu.Unlock()
-						n.refresh()
+						n.refreshRecords()
 					})
 				}
 				sentAt := time.Now()
@@ -89,7 +89,7 @@
 		"lease lost":             {func(n *Node) { n.session.leaseValidUntil = n.now() }, http.StatusServiceUnavailable, maxHeartbeatWait},
 		"session over":           {func(n *Node) { n.replaceSession(0) }, http.StatusServiceUnavailable, time.Second},
 		"acknowledged, then lease lost": {func(n *Node) {
-			delegate(t, n, testDelegation, true)
+			applyDelegation(t, n, testDelegation, true)
 			n.session.leaseValidUntil = n.now()
 		}, http.StatusServiceUnavailable, time.Second},
 	} {
@@ -97,13 +97,13 @@
 			synctest.Test(t, func(t *testing.T) {
 				n := newProxyNode(t)
 				n.heartbeatRelay.disabled = true
-				delegate(t, n, testDelegation, false)
-				n.refresh()
+				applyDelegation(t, n, testDelegation, false)
+				n.refreshRecords()
 				time.AfterFunc(time.Second, func() {
 					n.mu.Lock()
 					c.change(n)
 					n.mu.Unlock()
-					n.refresh()
+					n.refreshRecords()
 				})
 				sentAt := time.Now()
 				if answer := n.Heartbeat(zoneHeartbeat(1)); answer.Status != c.status || time.Since(sentAt) != c.took {
@@ -127,7 +127,7 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				n := newProxyNode(t)
-				n.refresh()
+				n.refreshRecords()
 				change(n)
 				sentAt := time.Now()
 				if answer := n.Heartbeat(zoneHeartbeat(1)); answer.Status == http.StatusOK || time.Since(sentAt) != 0 {
@@ -160,8 +160,8 @@
 				if c.reached {
 					n.heartbeatProxy.lastReached[c.proxy] = n.now().Add(time.Minute)
 				}
-				n.refresh()
-				delegate(t, n, storage.DelegationID{Shard: 0, Controller: c.proxy}, c.acknowledged)
+				n.refreshRecords()
+				applyDelegation(t, n, storage.DelegationID{Shard: 0, Controller: c.proxy}, c.acknowledged)
 				if answer := n.Heartbeat(zoneHeartbeat(1)); answer.Status != http.StatusMisdirectedRequest || answer.RedirectTo != c.redirect {
 					t.Errorf("%+v", answer)
 				}
@@ -187,14 +187,14 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				n := newProxyNode(t)
-				delegate(t, n, testDelegation, true)
-				n.refresh()
+				applyDelegation(t, n, testDelegation, true)
+				n.refreshRecords()
 				n.records.SyncedAt = n.now().Add(-n.timing.LeaseValidity)
 				n.recordLeaseChange(n.now())
 				n.heartbeatProxy.waitingHeartbeats = c.waiting
 				if c.after > 0 {
 					time.AfterFunc(c.after, func() {
-						n.refresh()
+						n.refreshRecords()
 						n.mu.Lock()
 						defer n.mu.Unlock()
 						n.recordLeaseChange(n.now())
@@ -210,8 +210,8 @@
 	}
 }
 
-// remove deletes a record from a controller's replicated records.
-func remove(n *Node, key string) {
+// deleteRecord deletes a record from a controller's replicated records.
+func deleteRecord(n *Node, key string) {
 	for _, change := range n.records.Apply([]protocol.Change{{Delete: key, Revision: 30}}) {
 		n.reactTo(change)
 	}
@@ -229,14 +229,14 @@
 		took    time.Duration
 	}{
 		"acknowledged": {change: func(n *Node) {
-			delegate(t, n, testDelegation, true)
+			applyDelegation(t, n, testDelegation, true)
 			n.heartbeatProxy.lastReached["n0"] = time.Time{}
 		}, status: http.StatusOK, took: after},
 		"reached again":          {change: func(n *Node) { n.heartbeatProxy.recordReached("n0", n.now()) }, status: http.StatusMisdirectedRequest, took: after},
-		"session of holder over": {change: func(n *Node) { remove(n, storage.ControllerKey("n0")) }, status: http.StatusMisdirectedRequest, took: after},
+		"session of holder over": {change: func(n *Node) { deleteRecord(n, storage.ControllerKey("n0")) }, status: http.StatusMisdirectedRequest, took: after},
 		"shard acquired": {change: func(n *Node) {
 			n.records.SetMachineTypes(simMachineTypes)
-			put(t, n, storage.ShardKey(0), storage.ShardLease{Holder: storage.Controller{Name: "n1", Session: 5}, FencingToken: 3}, 30)
+			applyRecord(t, n, storage.ShardKey(0), storage.ShardLease{Holder: storage.Controller{Name: "n1", Session: 5}, FencingToken: 3}, 30)
 			n.syncShards()
 		}, status: http.StatusOK, took: after},
 		"nothing changes": {status: http.StatusMisdirectedRequest, took: maxHeartbeatWait},
@@ -251,14 +251,14 @@
 				if c.prepare != nil {
 					c.prepare(n)
 				}
-				n.refresh()
+				n.refreshRecords()
 				time.AfterFunc(after, func() {
 					if c.change != nil {
 						n.mu.Lock()
 						c.change(n)
 						n.mu.Unlock()
 					}
-					n.refresh()
+					n.refreshRecords()
 				})
 				sentAt := time.Now()
 				if answer := n.Heartbeat(zoneHeartbeat(1)); answer.Status != c.status || time.Since(sentAt) != c.took {
--- a/internal/coordination/invariants_test.go
+++ b/internal/coordination/invariants_test.go
@@ -119,7 +119,7 @@
 		},
 		"orphaned": func(n *Node) {
 			n.findEndedJob = func(id string) (storage.EndedJob, bool) {
-				e, ok := n.ends.get(id)
+				e, ok := n.endedJobs.get(id)
 				e.Status = protocol.Done
 				return e, ok
 			}
--- a/internal/coordination/job_status.go
+++ b/internal/coordination/job_status.go
@@ -129,7 +129,7 @@
 func (n *Node) knownEnd(id string) (storage.EndedJob, bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	end, ok := n.ends.get(id)
+	end, ok := n.endedJobs.get(id)
 	return end, ok
 }
 
@@ -166,7 +166,7 @@
 		return nil, err
 	}
 	n.mu.Lock()
-	n.ends.add(id, *end)
+	n.endedJobs.add(id, *end)
 	n.mu.Unlock()
 	return end, nil
 }
--- a/internal/coordination/job_writes.go
+++ b/internal/coordination/job_writes.go
@@ -194,7 +194,7 @@
 // recordStoredEnd records that the store has a job's end.
 func (n *Node) recordStoredEnd(write jobWrite) {
 	n.latency.RecordSince(write.job.spec.Class, latency.StoreCompletion, write.job.completedAt)
-	n.ends.add(write.job.id, *write.end)
+	n.endedJobs.add(write.job.id, *write.end)
 	n.resolveDependencies() // its dependents are unblocked at once
 	n.wakeLoops()
 	slog.Debug("job completed", "job", write.job.id)
--- a/internal/coordination/limits_test.go
+++ b/internal/coordination/limits_test.go
@@ -157,7 +157,7 @@
 		if len(n.records.MachineTypes) != 0 {
 			t.Errorf("%d of %d parts count", i, len(writes))
 		}
-		n.apply(w.Put, raw, 9)
+		n.applyChange(w.Put, raw, 9)
 	}
 	if diff := cmp.Diff(c.MachineTypes, n.records.MachineTypes); diff != "" || len(writes) < 3 {
 		t.Error(len(writes), diff)
@@ -174,13 +174,13 @@
 	w.settings.Deployment.State.WriteRPS = 3
 	var sent []protocol.Txn
 	n := New(w.settings, w.settings.Defaults(), storage.NewClientWithTransport(recorder{&sent}, 1000, 3, 1), nil, nil, nil)
-	n.apply(storage.SchemaVersionKey, []byte(`{"form":2}`), 1)
-	n.apply(storage.GrantKey(0), []byte(`{"blocks":"in pieces","of":9,"shares":{}}`), 2)
+	n.applyChange(storage.SchemaVersionKey, []byte(`{"form":2}`), 1)
+	n.applyChange(storage.GrantKey(0), []byte(`{"blocks":"in pieces","of":9,"shares":{}}`), 2)
 	s := newShard(0, storage.ShardLease{FencingToken: 1}, 1, time.Now())
 	n.shards[0] = s
 	for k := range 6 {
 		raw, _ := json.Marshal(storage.GrantChunk{Generation: 9, Machines: []storage.MachineLease{{Machine: fmt.Sprint("m", k), MachineType: "small"}}})
-		n.apply(storage.GrantChunkKey(0, k), raw, uint64(3+k))
+		n.applyChange(storage.GrantChunkKey(0, k), raw, uint64(3+k))
 	}
 	for _, m := range s.machines {
 		m.releasing = true
--- a/internal/coordination/migration_to_room_test.go
+++ b/internal/coordination/migration_to_room_test.go
@@ -29,12 +29,12 @@
 	now := time.Now()
 	n.now = func() time.Time { return now }
 	lease, _ := json.Marshal(storage.ShardLease{Holder: storage.Controller{Name: "n1", Session: 1}, FencingToken: 5})
-	n.apply(storage.ShardKey(1), lease, 4)
+	n.applyChange(storage.ShardKey(1), lease, 4)
 	s := newShard(0, storage.ShardLease{FencingToken: 1}, 1, now)
 	s.reconciled = true
 	n.shards[0] = s
 	record, _ := json.Marshal(storage.Job{Spec: protocol.Job{ID: "wk-1"}})
-	n.apply(storage.JobKey("wk-1"), record, 9)
+	n.applyChange(storage.JobKey("wk-1"), record, 9)
 	j := &job{id: "wk-1", revision: 9, submittedAt: now, receivedAt: now.Add(-time.Minute), need: placement.Resources{3, 0, 2}, unplacedSince: now.Add(-time.Minute)}
 	j.spec = protocol.Job{ID: j.id, Team: "red", Type: "array", Tasks: 2, Cores: 3, MemoryGB: 2, EstimatedSeconds: 9, Spot: true}
 	s.jobs, s.queue = map[string]*job{}, []*job{j}
--- a/internal/coordination/node.go
+++ b/internal/coordination/node.go
@@ -51,9 +51,9 @@
 	// mu guards all fields below.
 	mu sync.Mutex
 
-	session controllerSession
-	records *clusterstate.Records
-	ends    endCache
+	session   controllerSession
+	records   *clusterstate.Records
+	endedJobs endCache
 
 	// Derived from the records and the settings.
 	teams         map[string]teamQuota
@@ -126,7 +126,7 @@
 		records: clusterstate.New(func(record *storage.Job) float64 {
 			return deadlineSeconds(record, settings.Deployment.Objectives)
 		}),
-		ends: newEndCache(),
+		endedJobs: newEndCache(),
 
 		teams:         teamQuotas(settings.Deployment.Teams),
 		serviceLevels: newServiceLevels(),
@@ -142,7 +142,7 @@
 		loggedStatusErrors: map[statusValueError]bool{},
 	}
 	n.session = newControllerSession(n.timing, settings)
-	n.findEndedJob = n.ends.get
+	n.findEndedJob = n.endedJobs.get
 	n.initWorkers()
 	n.initReplica()
 	return n
--- a/internal/coordination/schema_test.go
+++ b/internal/coordination/schema_test.go
@@ -75,9 +75,9 @@
 func TestSplitGrant(t *testing.T) {
 	w := newWorld(1, nil)
 	n := New(w.settings, w.settings.Defaults(), nil, nil, nil, nil)
-	n.apply(storage.GrantKey(0), readProduction(t, "grant.json"), 7)
+	n.applyChange(storage.GrantKey(0), readProduction(t, "grant.json"), 7)
 	before := n.records.Grants[0].Value
-	n.apply(storage.SchemaVersionKey, []byte(`{"form":2}`), 8)
+	n.applyChange(storage.SchemaVersionKey, []byte(`{"form":2}`), 8)
 	w.settings.Deployment.State.Next = nil
 	n.records.Leader.Revision = 5
 	w.settings.Deployment.State.ValueKB = 0.35 // one machine per chunk
@@ -89,7 +89,7 @@
 		}
 		for _, put := range txn.Writes {
 			raw, _ := json.Marshal(put.Value)
-			n.apply(put.Put, raw, revision)
+			n.applyChange(put.Put, raw, revision)
 		}
 		revision++
 		if n.records.Grants[0].Value.Generation == 0 && !reflect.DeepEqual(before, n.records.Grants[0].Value) {
@@ -110,12 +110,12 @@
 		t.Error("the former version would take the shard for one without machines")
 	}
 	// A chunk that can't be decoded leaves the shard unchanged.
-	n.apply(storage.GrantChunkKey(0, 0), []byte(`{"of":7,"blocks":{"names":["0x"]}}`), revision)
+	n.applyChange(storage.GrantChunkKey(0, 0), []byte(`{"of":7,"blocks":{"names":["0x"]}}`), revision)
 	if !reflect.DeepEqual(after, n.records.Grants[0].Value) {
 		t.Error("a chunk that can't be decoded changes the shard's machines")
 	}
 	// A newer schema version is not supported.
-	n.apply(storage.SchemaVersionKey, fmt.Appendf(nil, `{"form":%d}`, storage.SchemaLatest+1), revision+1)
+	n.applyChange(storage.SchemaVersionKey, fmt.Appendf(nil, `{"form":%d}`, storage.SchemaLatest+1), revision+1)
 	if n.records.SupportsSchema() {
 		t.Error("supports a schema that it doesn't know")
 	}
@@ -128,10 +128,10 @@
 	var sent []protocol.Txn
 	n := New(w.settings, w.settings.Defaults(), storage.NewClientWithTransport(recorder{&sent}, 1000, 1000, 1), nil, nil, nil)
 	n.session.id, n.records.Leader.Value = 4, storage.Controller{Name: "n0", Session: 4}
-	n.apply(storage.VersionMarkerKey("n0"), []byte(`{"form":2}`), 7)
-	n.apply(storage.VersionMarkerKey("n1"), []byte(`{"form":2}`), 8)
-	n.apply(storage.VersionMarkerKey("n2"), []byte(`{"form":2}`), 9)
-	n.apply(storage.SchemaVersionKey, []byte(`{"form":2}`), 9)
+	n.applyChange(storage.VersionMarkerKey("n0"), []byte(`{"form":2}`), 7)
+	n.applyChange(storage.VersionMarkerKey("n1"), []byte(`{"form":2}`), 8)
+	n.applyChange(storage.VersionMarkerKey("n2"), []byte(`{"form":2}`), 9)
+	n.applyChange(storage.SchemaVersionKey, []byte(`{"form":2}`), 9)
 	newest := 0
 	for _, want := range []string{storage.VersionMarkerKey("n0"), "", "", storage.SchemaVersionKey, ""} {
 		sent = nil
@@ -146,10 +146,10 @@
 		schema := fmt.Appendf(nil, `{"form":%d}`, storage.SchemaLatest)
 		switch newest {
 		case 0, 1, 2:
-			n.apply(storage.VersionMarkerKey(fmt.Sprint("n", newest)), schema, uint64(10+newest))
+			n.applyChange(storage.VersionMarkerKey(fmt.Sprint("n", newest)), schema, uint64(10+newest))
 			newest++
 		case 3:
-			n.apply(storage.SchemaVersionKey, schema, 20)
+			n.applyChange(storage.SchemaVersionKey, schema, 20)
 		}
 	}
 	if !n.records.SplitGrantsEnabled() || !n.records.HeartbeatProxiesEnabled() {
@@ -157,8 +157,8 @@
 	}
 }
 
-// apply applies one change to the replicated records.
-func (n *Node) apply(path string, data []byte, revision uint64) {
+// applyChange applies one change to the replicated records.
+func (n *Node) applyChange(path string, data []byte, revision uint64) {
 	change := protocol.Change{Put: path, Value: data, Revision: revision}
 	if data == nil {
 		change = protocol.Change{Delete: path, Revision: revision}
--- a/internal/coordination/service_levels_test.go
+++ b/internal/coordination/service_levels_test.go
@@ -30,7 +30,7 @@
 		revision++
 		raw, _ := json.Marshal(storage.Job{AcceptedAtMS: time.Now().Add(-age).UnixMilli(),
 			Spec: protocol.Job{ID: id, Class: class, Team: "red", Type: "array", Priority: "low", Tasks: 1, Cores: 1, EstimatedSeconds: 5}})
-		n.apply(storage.JobKey(id), raw, revision)
+		n.applyChange(storage.JobKey(id), raw, revision)
 	}
 }
 
@@ -49,7 +49,7 @@
 		s.jobs[id].markDone(0)
 	}
 	for i, id := range []string{"wk-1", "wk-2", "wk-3"} {
-		n.apply(storage.JobKey(id), nil, uint64(100+i))
+		n.applyChange(storage.JobKey(id), nil, uint64(100+i))
 	}
 	got := n.currentServiceLevels(time.Now())
 	for class, want := range map[string]struct{ met, missed int }{"slow": {1, 2}, "quick": {0, 1}} {
--- a/internal/coordination/service_test.go
+++ b/internal/coordination/service_test.go
@@ -164,9 +164,9 @@
 // A record that can't be decoded leaves the copy of the one before as it is.
 func TestUnreadableRecordIsNotApplied(t *testing.T) {
 	n := New(newWorld(1, nil).settings, newWorld(1, nil).settings.Defaults(), nil, nil, nil, nil)
-	n.apply(storage.JobKey("wk-1"), []byte(`{"spec":{"id":"wk-1","parts":3},"shard":0,"at":1,"done":"0-1"}`), 5)
-	n.apply(storage.JobKey("wk-1"), []byte(`{"spec":{"id":"wk-1","parts":3},"done":"9"}`), 6)
-	n.apply(storage.JobKey("wk-1"), []byte(`no record`), 7)
+	n.applyChange(storage.JobKey("wk-1"), []byte(`{"spec":{"id":"wk-1","parts":3},"shard":0,"at":1,"done":"0-1"}`), 5)
+	n.applyChange(storage.JobKey("wk-1"), []byte(`{"spec":{"id":"wk-1","parts":3},"done":"9"}`), 6)
+	n.applyChange(storage.JobKey("wk-1"), []byte(`no record`), 7)
 	if jr := n.records.Jobs["wk-1"]; jr == nil || jr.Revision != 5 {
 		t.Errorf("an unreadable record was applied: %+v", jr)
 	}
--- a/internal/coordination/session_test.go
+++ b/internal/coordination/session_test.go
@@ -217,7 +217,7 @@
 	n := New(w.settings, w.settings.Defaults(), nil, nil, nil, nil)
 	for i, session := range []uint64{7, 8} {
 		raw, _ := json.Marshal(storage.Controller{Name: "n1", Session: session})
-		n.apply(storage.ControllerKey("n1"), raw, uint64(i+1))
+		n.applyChange(storage.ControllerKey("n1"), raw, uint64(i+1))
 		n.ReceiveStatus(Status{From: "n1", Session: session, Utilization: float64(session)})
 	}
 	n.ReceiveStatus(Status{From: "n1", Session: 7, HoldsLease: true, Utilization: 7})
--- a/internal/coordination/sim_delegation_order_test.go
+++ b/internal/coordination/sim_delegation_order_test.go
@@ -105,8 +105,8 @@
 	o.attempts[first]++
 	attempt := o.attempts[first]
 	o.recordSent(sender, kind, txn)
-	isOther := slices.Contains(o.others, kind) && !o.sent[sender+string(kind)]
-	if isOther && o.isHeld(sender, kind) || kind == delegationWrite && o.mute == sender {
+	isOther := slices.Contains(o.competingWrites, kind) && !o.sent[sender+string(kind)]
+	if isOther && o.isHeld(sender, kind) || kind == delegationWrite && o.deniedController == sender {
 		return forcedFate{refused: true}
 	}
 	fate := forcedFate{}
@@ -265,7 +265,7 @@
 		from := o.w.startedAt.Add(o.lastPartition().at + shown)
 		heartbeats := m.worker.trace.heartbeats
 		for i, h := range heartbeats {
-			if !found || h.to != o.mute || h.status != http.StatusMisdirectedRequest || h.sentAt.Before(from) {
+			if !found || h.to != o.deniedController || h.status != http.StatusMisdirectedRequest || h.sentAt.Before(from) {
 				continue
 			}
 			o.asked++
--- a/internal/coordination/submission.go
+++ b/internal/coordination/submission.go
@@ -51,7 +51,7 @@
 	n.mu.Lock()
 	now := n.now()
 	_, active := n.records.Jobs[j.ID]
-	end, ended := n.ends.get(j.ID)
+	end, ended := n.endedJobs.get(j.ID)
 	canDecide := n.holdsLease(now) && n.records.MachineTypes != nil
 	n.mu.Unlock()
 	switch {
