--- a/internal/coordination/delegations.go
+++ b/internal/coordination/delegations.go
@@ -77,8 +77,8 @@
 	return delegated
 }
 
-// isHolderUnreachable reports whether a shard's holder is another controller
-// whose session is open, and which this one can't reach.
+// isHolderUnreachable reports whether a shard's holder is another controller with an
+// open session that this controller can't reach.
 func (n *Node) isHolderUnreachable(shardIndex int, now time.Time) bool {
 	return n.isHeldByPeer(shardIndex) && !n.heartbeatProxy.isReachable(n.records.Shards[shardIndex].Value.Holder.Name, now)
 }
--- a/internal/coordination/leadership.go
+++ b/internal/coordination/leadership.go
@@ -10,11 +10,11 @@
 	"reedtrack/internal/storage"
 )
 
-// leadership is what the leader knows beyond the records. A new leader starts
-// empty and rebuilds it from heartbeats, statuses and the cloud's list.
+// leadership is the leader's state that is not in the records. A new leader starts
+// with an empty state and rebuilds it from heartbeats, statuses and the cloud's list.
 //
-// The leader is the controller whose session the leader's key names. Who writes
-// which record, and which other records have to be unchanged since the writer
+// The leader is the controller whose session the leader's key names. The table lists
+// the writers of each record, and the records that must be unchanged since the writer
 // read them:
 //
 //	record               writer                        unchanged
@@ -29,11 +29,11 @@
 //	                     shard's holder, to take       shard lease, the grant itself
 //	                     from it
 //
-// A write may be carried out long after it was sent, also when its sender has
-// given it up or has ended. It then fails: the leader's key has another revision
-// under another leader, the fencing token grows with each grant, the shard lease
-// changes with the holder, and the grant with whatever was added or taken since.
-// docs/safety.md has the arguments.
+// A write may be executed long after it was sent, even after its sender has abandoned
+// it or has terminated. It then fails: the leader's key has another revision under
+// another leader, the fencing token increases with each grant, the shard lease changes
+// with the holder, and the grant with every addition or removal. docs/safety.md has the
+// arguments.
 type leadership struct {
 	// The leadership term, set once by newLeadership.
 	revision   uint64 // revision of the leader's key; part of the leader's request IDs
@@ -82,16 +82,15 @@
 	return now.Sub(l.acquiredAt) > 3*statusInterval && l.listedAt.After(l.acquiredAt)
 }
 
-// establishLeadership takes up the leader's duties, unless this controller has
-// them already under the present leader's key. Everything that a leader does
-// begins with it:
+// establishLeadership assumes the leader's duties, unless this controller already has
+// them under the current leader's key. Everything that a leader does starts here:
 //
 //   - leaderTick writes grants;
 //   - cloudLoop reads the catalog, requests, lists and releases machines;
-//   - ReceiveStatus answers holders what boots for their shards, and queues the
-//     machines that they request;
-//   - Heartbeat keeps the state of machines that no shard has;
-//   - deleteStaleChunks deletes completion chunks of jobs that have ended.
+//   - ReceiveStatus tells holders which machines boot for their shards, and queues
+//     the machines that they request;
+//   - Heartbeat keeps the state of machines that belong to no shard;
+//   - deleteStaleChunks deletes completion chunks of ended jobs.
 //
 // advanceSchema raises the schema version as soon as the leader's key names this
 // controller.
