--- a/internal/coordination/delegation_fences_test.go
+++ b/internal/coordination/delegation_fences_test.go
@@ -13,12 +13,12 @@
 	"reedtrack/internal/storage"
 )
 
-// testDelegation is a delegation of the one machine of oneTask.
+// testDelegation is a delegation of the only machine of oneTask.
 var testDelegation = storage.DelegationID{Shard: 0, Controller: "n1"}
 
-// fencedHolder returns a holder whose direct start to a machine was sent and got no
-// answer, with the delegation of that machine and a schema version in its records.
-func fencedHolder(t *testing.T, schema int) (*Node, *shard, *machine) {
+// newFencedHolder returns a holder that has sent a direct start to a machine and got no
+// answer, with that machine's delegation and a schema version in its records.
+func newFencedHolder(t *testing.T, schema int) (*Node, *shard, *machine) {
 	t.Helper()
 	now := time.Now()
 	w := newWorld(1, nil)
@@ -29,15 +29,15 @@
 	s.place(j, j.takePendingTask(), m)
 	message := directTarget{s, m}.buildMessage(now)
 	s.finishDirect(&message, DirectAnswer{}, now)
-	put(t, n, storage.SchemaVersionKey, storage.SchemaVersion{Version: schema}, 10)
-	put(t, n, storage.FencingTokenKey, storage.FencingTokenCounter{Last: 6}, 11)
-	put(t, n, storage.DelegationKey(testDelegation), storage.Delegation{Session: 5, FencingToken: 1, Machines: []string{"a"}}, 12)
+	applyRecord(t, n, storage.SchemaVersionKey, storage.SchemaVersion{Version: schema}, 10)
+	applyRecord(t, n, storage.FencingTokenKey, storage.FencingTokenCounter{Last: 6}, 11)
+	applyRecord(t, n, storage.DelegationKey(testDelegation), storage.Delegation{Session: 5, FencingToken: 1, Machines: []string{"a"}}, 12)
 	n.shards[0] = s
 	return n, s, m
 }
 
-// put applies a record to a controller's copy.
-func put(t testing.TB, n *Node, key string, value any, revision uint64) {
+// applyRecord applies a record to a controller's replicated records.
+func applyRecord(t testing.TB, n *Node, key string, value any, revision uint64) {
 	t.Helper()
 	raw, err := json.Marshal(value)
 	if err != nil {
@@ -48,7 +48,7 @@
 	}
 }
 
-// acknowledgementOf returns the acknowledgement that a transaction writes.
+// acknowledgementOf returns the acknowledgement that the transactions write.
 func acknowledgementOf(txns []protocol.Txn) storage.DelegationAck {
 	for _, txn := range txns {
 		for _, write := range txn.Writes {
@@ -60,15 +60,16 @@
 	return storage.DelegationAck{}
 }
 
-// A machine to which a start is unanswered was left to its holder, which can't reach it
-// (issue 46): it is acknowledged with a newer token, which the holder uses once its
-// records show it. The start is absent once a heartbeat shows that token without it.
-func TestUnansweredStartIsFencedOff(t *testing.T) {
-	n, s, m := fencedHolder(t, storage.SchemaMachineFences)
+// Guards against a machine with an unanswered start that is left to its unreachable holder
+// (issue 46). The machine is acknowledged with a newer token, which the holder uses once
+// its records show it. A heartbeat with that token that does not list the attempt proves
+// that the start was not executed.
+func TestUnansweredStartIsFenced(t *testing.T) {
+	n, s, m := newFencedHolder(t, storage.SchemaMachineFences)
 	txns := n.acknowledgementTxns()
 	ack := acknowledgementOf(txns)
 	if !slices.Equal(ack.Machines, []string{"a"}) || len(ack.Fences) != 1 || ack.Fences[0].FencingToken != 7 || len(ack.Fences[0].Starts) != 1 {
-		t.Fatalf("acknowledged %+v", ack)
+		t.Fatalf("unexpected acknowledgement %+v", ack)
 	}
 	needsToken := protocol.Precondition{Key: storage.FencingTokenKey, Revision: 11}
 	if len(txns) != 1 || !slices.Contains(txns[0].Preconditions, needsToken) || len(txns[0].Writes) != 2 {
@@ -77,8 +78,8 @@
 	if s.machineToken(m) != 2 {
 		t.Error("the token is used before it is known to be minted")
 	}
-	put(t, n, storage.FencingTokenKey, storage.FencingTokenCounter{Last: 7}, 13)
-	put(t, n, storage.DelegationAckKey(testDelegation), ack, 13)
+	applyRecord(t, n, storage.FencingTokenKey, storage.FencingTokenCounter{Last: 7}, 13)
+	applyRecord(t, n, storage.DelegationAckKey(testDelegation), ack, 13)
 	if s.machineToken(m) != 7 || m.hasStartInFlight() || len(n.acknowledgementTxns()) != 0 {
 		t.Errorf("token %d, start in flight %v", s.machineToken(m), m.hasStartInFlight())
 	}
@@ -93,9 +94,9 @@
 	}
 }
 
-// Another proxy's delegation of the same machine is acknowledged with the same fence.
-func TestFenceServesAllProxies(t *testing.T) {
-	n, _, m := fencedHolder(t, storage.SchemaMachineFences)
+// A second proxy's delegation of the same machine is acknowledged with the same fence.
+func TestFenceIsSharedByProxies(t *testing.T) {
+	n, _, m := newFencedHolder(t, storage.SchemaMachineFences)
 	m.fenceToken = 7
 	txns := n.acknowledgementTxns()
 	if ack := acknowledgementOf(txns); len(ack.Fences) != 1 || ack.Fences[0].FencingToken != 7 || len(ack.Fences[0].Starts) != 1 || len(txns[0].Writes) != 1 {
@@ -103,19 +104,19 @@
 	}
 }
 
-// Before every controller has left its mark nothing new is written: the machine is left
-// out, as before.
+// No fence is written before the schema version allows it: the machine is not
+// acknowledged.
 func TestNoFenceBeforeSchemaVersion(t *testing.T) {
-	n, _, _ := fencedHolder(t, storage.SchemaMachineFences-1)
+	n, _, _ := newFencedHolder(t, storage.SchemaMachineFences-1)
 	txns := n.acknowledgementTxns()
 	if ack := acknowledgementOf(txns); len(txns) != 1 || len(txns[0].Writes) != 1 || len(ack.Machines) != 0 || len(ack.Fences) != 0 {
 		t.Errorf("%+v", txns)
 	}
 }
 
-// A fence that does not fit into the record leaves its machine to the holder.
+// A machine whose fence does not fit into the record is not acknowledged.
 func TestTooLargeFenceIsLeftOut(t *testing.T) {
-	n, s, m := fencedHolder(t, storage.SchemaMachineFences)
+	n, s, m := newFencedHolder(t, storage.SchemaMachineFences)
 	ack := storage.DelegationAck{}
 	if newFenceBuilder(s, &ack, delegationOverhead+fenceOverhead).addNew([]string{m.lease.Machine}, 7) || len(ack.Machines) != 0 {
 		t.Errorf("%+v", ack)
@@ -126,11 +127,11 @@
 	}
 }
 
-// A proxy takes a fence's token and starts from the acknowledgement. One whose token
+// A proxy reads a fence's token and starts from the acknowledgement. A fence whose token
 // can't have been minted for it leaves the machine unacknowledged, and is logged once.
 func TestInvalidFenceIsNotAcknowledged(t *testing.T) {
 	for token, valid := range map[uint64]bool{1: false, 2: true, 6: true, 7: false} {
-		n, _, _ := fencedHolder(t, storage.SchemaMachineFences)
+		n, _, _ := newFencedHolder(t, storage.SchemaMachineFences)
 		delegated := map[string]heartbeatproxy.Record{"a": {Revision: 12}}
 		ack := storage.DelegationAck{FencingToken: 1, Machines: []string{"a", "unknown"},
 			Fences: []storage.MachineFence{{Machine: "a", FencingToken: token, Starts: []storage.FencedStart{{Task: "wk-1/0", Attempt: 3}}}, {Machine: "unknown", FencingToken: 6}}}
@@ -146,15 +147,15 @@
 	}
 }
 
-// A start may reach the worker after the heartbeat that a proxy answers: the answer
-// stops it if its job has ended, and not if the job is live or its record unreadable.
+// A start may reach the worker after the heartbeat that a proxy answers. The answer stops
+// it if its job has ended, but not if the job is live or its record unreadable.
 func TestProxyStopsFencedStartsOfEndedJobs(t *testing.T) {
-	n, _, _ := fencedHolder(t, storage.SchemaMachineFences)
+	n, _, _ := newFencedHolder(t, storage.SchemaMachineFences)
 	n.records.UnreadableJobs["wk-3"] = true
 	report := &protocol.Heartbeat{Machine: "a", Tasks: []protocol.TaskStatus{{Task: "wk-1/0", Attempt: 2, State: protocol.Exited}, {Task: "wk-2/0", Attempt: 4, State: protocol.Running}}}
 	starts := []heartbeatproxy.Attempt{{Task: "wk-1/0", Number: 3}, {Task: "wk-2/0", Number: 4}, {Task: "wk-3/0", Number: 5}}
 	var stopped []string
-	for _, o := range n.stopsOfEndedJobs(report, starts) {
+	for _, o := range n.stopCommandsForEndedJobs(report, starts) {
 		if o.Verb == protocol.VerbStop && *o.GracePeriodSeconds == 0 {
 			stopped = append(stopped, o.Task)
 		}
@@ -164,12 +165,12 @@
 	}
 }
 
-// A cut while a hundred of a thousand machines have an unanswered start: all are
-// acknowledged within so many turns of the writing loop as there are records, each write
-// within the store's limits.
+// After a partition in which 100 of 1000 machines have an unanswered start, all machines
+// are acknowledged within as many iterations of the writing loop as there are records, and
+// each write is within the store's limits.
 func TestManyMachinesAreFencedAtOnce(t *testing.T) {
 	const machines, unanswered = 1000, 100
-	n, s, _ := fencedHolder(t, storage.SchemaMachineFences)
+	n, s, _ := newFencedHolder(t, storage.SchemaMachineFences)
 	now := time.Now()
 	delete(n.records.Delegations, testDelegation)
 	var names []string
@@ -190,9 +191,9 @@
 	}
 	revision, records := uint64(20), 0
 	for rest := names; len(rest) > 0; records++ {
-		count := countFitting(rest, n.storeLimits().MaxValueBytes()/delegationParts)
+		count := countFitting(rest, n.storeLimits().MaxValueBytes()/delegationSizeDivisor)
 		id := storage.DelegationID{Shard: 0, Controller: "n1", Record: records}
-		put(t, n, storage.DelegationKey(id), storage.Delegation{Session: 5, FencingToken: 1, Machines: rest[:count]}, revision)
+		applyRecord(t, n, storage.DelegationKey(id), storage.Delegation{Session: 5, FencingToken: 1, Machines: rest[:count]}, revision)
 		rest, revision = rest[count:], revision+1
 	}
 	turns := 0
@@ -207,7 +208,7 @@
 				if len(raw) > n.storeLimits().MaxValueBytes() {
 					t.Fatalf("a value of %d bytes", len(raw))
 				}
-				put(t, n, write.Put, write.Value, revision)
+				applyRecord(t, n, write.Put, write.Value, revision)
 			}
 			revision++
 		}
--- a/internal/coordination/delegation_writes_test.go
+++ b/internal/coordination/delegation_writes_test.go
@@ -10,9 +10,9 @@
 	"reedtrack/internal/storage"
 )
 
-// proxyNode returns a controller in zone b that a machine of shard 0 may be delegated to;
-// the shard's holder is out of reach.
-func proxyNode(t testing.TB) *Node {
+// newProxyNode returns a controller in zone b to which a machine of shard 0 may be
+// delegated; the shard's holder is unreachable.
+func newProxyNode(t testing.TB) *Node {
 	t.Helper()
 	settings := *newWorld(1, nil).settings
 	settings.HostName, settings.Location = "n1", "b"
@@ -20,20 +20,21 @@
 	n.session.id = 5
 	n.session.leaseValidUntil = time.Now().Add(relayTestLease)
 	n.records.Loaded, n.records.SyncedAt = true, time.Now()
-	put(t, n, storage.SchemaVersionKey, storage.SchemaVersion{Version: storage.SchemaHeartbeatRelays}, 10)
-	put(t, n, storage.ControllerKey("n0"), storage.Controller{Name: "n0", Session: 4}, 11)
-	put(t, n, storage.ShardKey(0), storage.ShardLease{Holder: storage.Controller{Name: "n0", Session: 4}, FencingToken: 1}, 12)
-	put(t, n, storage.GrantKey(0), storage.Grant{Machines: []storage.MachineLease{{Machine: "a", MachineType: "small", Zone: "b", FencingToken: 2}}}, 13)
+	applyRecord(t, n, storage.SchemaVersionKey, storage.SchemaVersion{Version: storage.SchemaHeartbeatRelays}, 10)
+	applyRecord(t, n, storage.ControllerKey("n0"), storage.Controller{Name: "n0", Session: 4}, 11)
+	applyRecord(t, n, storage.ShardKey(0), storage.ShardLease{Holder: storage.Controller{Name: "n0", Session: 4}, FencingToken: 1}, 12)
+	applyRecord(t, n, storage.GrantKey(0), storage.Grant{Machines: []storage.MachineLease{{Machine: "a", MachineType: "small", Zone: "b", FencingToken: 2}}}, 13)
 	n.heartbeatProxy.firstCalled["n0"] = time.Now().Add(-time.Minute)
 	return n
 }
 
-// Guards against a delegation that stands for good, with its machines never taken for lost:
-// a write without an answer was carried out after the cut was over and forgotten.
+// Guards against a delegation that is never deleted, so that its machines never expire: an
+// unanswered write was executed after the partition had ended and the proxy had discarded
+// its state.
 func TestLateDelegationIsRemoved(t *testing.T) {
-	n := proxyNode(t)
+	n := newProxyNode(t)
 	n.heartbeatProxy.lastReached["n0"] = time.Now()
-	put(t, n, storage.DelegationKey(testDelegation), storage.Delegation{Session: 5, FencingToken: 1, Machines: []string{"a"}}, 20)
+	applyRecord(t, n, storage.DelegationKey(testDelegation), storage.Delegation{Session: 5, FencingToken: 1, Machines: []string{"a"}}, 20)
 	n.updateDelegations(time.Now())
 	txns := n.delegationTxns(time.Now())
 	removal := protocol.Write{Delete: storage.DelegationKey(testDelegation)}
@@ -42,13 +43,13 @@
 	}
 }
 
-// Guards against a proxy that answers in a new session from what the old one had: the
-// holder may have taken the machine for lost between the two.
-func TestNewSessionAnswersForNobody(t *testing.T) {
-	n := proxyNode(t)
-	n.refresh()
-	delegate(t, n, testDelegation, true)
-	n.refresh()
+// Guards against a proxy that answers in a new session based on the delegations of the old
+// one: the holder may have expired the machine between the two.
+func TestNewSessionDropsDelegations(t *testing.T) {
+	n := newProxyNode(t)
+	n.refreshRecords()
+	applyDelegation(t, n, testDelegation, true)
+	n.refreshRecords()
 	if answer := n.Heartbeat(zoneHeartbeat(1)); answer.Status != http.StatusOK {
 		t.Fatalf("%+v", answer)
 	}
@@ -61,10 +62,10 @@
 	}
 }
 
-// A copy of an acknowledgement that comes late must fail: it names the revisions of the
-// shard, of the delegation and of the acknowledgement.
-func TestAcknowledgementNamesWhatItDependsOn(t *testing.T) {
-	n, s, _ := fencedHolder(t, storage.SchemaMachineFences)
+// A late copy of an acknowledgement must fail: it is conditional on the revisions of the
+// shard, the delegation and the acknowledgement.
+func TestAcknowledgementPreconditions(t *testing.T) {
+	n, s, _ := newFencedHolder(t, storage.SchemaMachineFences)
 	s.revision = 8
 	for _, precondition := range []protocol.Precondition{
 		{Key: storage.ShardKey(0), Revision: 8},
@@ -77,8 +78,8 @@
 	}
 }
 
-// Guards against a write that is never sent again since other writes use the budget up, and
-// against one that is sent too often.
+// Guards against a write that is never resent because other writes exhaust the budget, and
+// against one that is resent too often.
 func TestUnansweredDelegationIsSentAgain(t *testing.T) {
 	txn := protocol.Txn{Preconditions: []protocol.Precondition{{Key: "k", Revision: 1}}, Writes: []protocol.Write{{Put: "k"}}}
 	for name, c := range map[string]struct {
--- a/internal/coordination/dependencies.go
+++ b/internal/coordination/dependencies.go
@@ -39,7 +39,7 @@
 	blockedCount := n.updateShardJobs(now)
 	transport.BlockedJobs.Set(float64(blockedCount))
 	foundCancelled := n.recordCancelledSince(now)
-	if foundCancelled || len(n.ends.unknown) > 0 {
+	if foundCancelled || len(n.endedJobs.unknown) > 0 {
 		signal(n.wake.dependencies)
 	}
 }
@@ -50,7 +50,7 @@
 func (n *Node) evaluateAllDependencies() dependentIndex {
 	dependents := dependentIndex{}
 	var cancelled []*clusterstate.JobRecord
-	clear(n.ends.unknown)
+	clear(n.endedJobs.unknown)
 	for _, jr := range n.records.Jobs {
 		if len(jr.Record.Spec.DependsOn) == 0 {
 			continue
@@ -77,7 +77,7 @@
 	state.Pending, state.UnblockedMS = false, jr.Record.AcceptedAtMS
 	unknown := false
 	for _, id := range jr.Record.Spec.DependsOn {
-		end, ended := n.storedEnd(id)
+		end, ended := n.findEndedJob(id)
 		switch {
 		case ended && end.Status == protocol.Cancelled:
 			state.Cancelled = true
@@ -89,7 +89,7 @@
 			unknown = true
 			if n.shards[jr.Record.Shard] != nil {
 				state.Pending = true
-				n.ends.unknown[id] = true
+				n.endedJobs.unknown[id] = true
 			}
 		}
 	}
@@ -222,7 +222,7 @@
 	if !n.holdsLease(now) {
 		return nil, nil
 	}
-	for id := range n.ends.unknown {
+	for id := range n.endedJobs.unknown {
 		unknownEnds = append(unknownEnds, id)
 	}
 	for _, jr := range n.records.Jobs {
--- a/internal/coordination/dependency_requests.go
+++ b/internal/coordination/dependency_requests.go
@@ -57,7 +57,7 @@
 			continue
 		}
 		seen[id] = true
-		if end, ended := n.storedEnd(id); ended {
+		if end, ended := n.findEndedJob(id); ended {
 			if end.Status == protocol.Cancelled {
 				return true
 			}
@@ -119,7 +119,7 @@
 // answers as well: whether a job was accepted, and whether it is a service.
 func (n *Node) lookupDependency(ctx context.Context, id string) (storedJob, error) {
 	n.mu.Lock()
-	end, ended := n.ends.get(id)
+	end, ended := n.endedJobs.get(id)
 	live := n.records.Jobs[id]
 	n.mu.Unlock()
 	switch {
--- a/internal/coordination/failover_delay_test.go
+++ b/internal/coordination/failover_delay_test.go
@@ -15,11 +15,11 @@
 // failoverWrites counts the writes that give a shard to its next holder, and decides their
 // outcomes.
 type failoverWrites struct {
-	unanswered int // how many first copies per sender and key get no answer
-	lateBy     time.Duration
-	mu         sync.Mutex
-	copies     map[string]int
-	carriedOut map[string]int // by key and preconditions
+	unanswered     int // how many first copies per sender and key get no answer
+	lateWriteDelay time.Duration
+	mu             sync.Mutex
+	copies         map[string]int
+	carriedOut     map[string]int // by key and preconditions
 }
 
 // failoverKey returns the leader or shard key that a transaction writes, or an empty string
@@ -44,7 +44,7 @@
 	f.copies[sender+key]++
 	outcome := forcedOutcome{done: func(status int) { f.recordDone(fmt.Sprint(key, txn.Preconditions), status) }}
 	if f.copies[sender+key] <= f.unanswered {
-		outcome.late = f.lateBy
+		outcome.late = f.lateWriteDelay
 	}
 	return outcome
 }
@@ -92,7 +92,7 @@
 					stop()
 					t.Fatalf("leader %d, %d shards without a holder", leader, w.unheldShards())
 				}
-				writes := &failoverWrites{unanswered: unanswered, lateBy: lateBy, copies: map[string]int{}, carriedOut: map[string]int{}}
+				writes := &failoverWrites{unanswered: unanswered, lateWriteDelay: lateWriteDelay, copies: map[string]int{}, carriedOut: map[string]int{}}
 				for _, n := range w.nodes {
 					n.storeLink.mu.Lock()
 					n.storeLink.decideOutcome = func(txn protocol.Txn) forcedOutcome { return writes.decide(n.name, txn) }
@@ -107,7 +107,7 @@
 				if w.unheldShards() > 0 {
 					t.Errorf("%d shards without a holder %v after their holder failed", w.unheldShards(), time.Since(failedAt))
 				}
-				time.Sleep(2 * lateBy)
+				time.Sleep(2 * lateWriteDelay)
 				stop()
 				for write, count := range writes.carriedOut {
 					if count > 1 {
--- a/internal/coordination/heartbeat_wait_bench_test.go
+++ b/internal/coordination/heartbeat_wait_bench_test.go
@@ -11,24 +11,26 @@
 	"reedtrack/internal/storage"
 )
 
-// zoneMachines is how many machines of a zone are cut off from their holder at once.
+// zoneMachines is the number of machines of a zone that a partition separates from their
+// holder at the same time.
 const zoneMachines = 2000
 
-// BenchmarkKeptHeartbeatsOfZone measures what a proxy needs to keep a heartbeat of each
-// machine of a zone, and to answer them all as their acknowledgement comes.
-func BenchmarkKeptHeartbeatsOfZone(b *testing.B) {
+// BenchmarkWaitingHeartbeatsOfZone measures the cost for a proxy to let a heartbeat of
+// each machine of a zone wait, and to answer all of them when their acknowledgement
+// arrives.
+func BenchmarkWaitingHeartbeatsOfZone(b *testing.B) {
 	for b.Loop() {
 		b.StopTimer()
-		n := proxyNode(b)
+		n := newProxyNode(b)
 		leases, names := []storage.MachineLease{}, []string{}
 		for i := range zoneMachines {
 			name := fmt.Sprintf("host-%06d", i)
 			names = append(names, name)
 			leases = append(leases, storage.MachineLease{Machine: name, MachineType: "small", Zone: "b", FencingToken: 2})
 		}
-		put(b, n, storage.GrantKey(0), storage.Grant{Machines: leases}, 14)
-		put(b, n, storage.DelegationKey(testDelegation), storage.Delegation{Session: 5, FencingToken: 1, Machines: names}, 20)
-		n.refresh()
+		applyRecord(b, n, storage.GrantKey(0), storage.Grant{Machines: leases}, 14)
+		applyRecord(b, n, storage.DelegationKey(testDelegation), storage.Delegation{Session: 5, FencingToken: 1, Machines: names}, 20)
+		n.refreshRecords()
 		b.StartTimer()
 		var waiting sync.WaitGroup
 		for _, name := range names {
@@ -39,14 +41,14 @@
 				}
 			})
 		}
-		for kept := 0; kept < zoneMachines; {
+		for waitingCount := 0; waitingCount < zoneMachines; {
 			time.Sleep(time.Millisecond)
 			n.mu.Lock()
-			kept = n.heartbeatProxy.waitingHeartbeats
+			waitingCount = n.heartbeatProxy.waitingHeartbeats
 			n.mu.Unlock()
 		}
-		put(b, n, storage.DelegationAckKey(testDelegation), storage.DelegationAck{DelegationRevision: 20, Session: 4, FencingToken: 1, Machines: names}, 21)
-		n.refresh()
+		applyRecord(b, n, storage.DelegationAckKey(testDelegation), storage.DelegationAck{DelegationRevision: 20, Session: 4, FencingToken: 1, Machines: names}, 21)
+		n.refreshRecords()
 		waiting.Wait()
 	}
 }
--- a/internal/coordination/job_status.go
+++ b/internal/coordination/job_status.go
@@ -131,7 +131,7 @@
 func (n *Node) cachedEndedJob(id string) (storage.EndedJob, bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	end, ok := n.ends.get(id)
+	end, ok := n.endedJobs.get(id)
 	return end, ok
 }
 
@@ -168,7 +168,7 @@
 		return nil, err
 	}
 	n.mu.Lock()
-	n.ends.add(id, *end)
+	n.endedJobs.add(id, *end)
 	n.mu.Unlock()
 	return end, nil
 }
--- a/internal/coordination/relayed_heartbeat.go
+++ b/internal/coordination/relayed_heartbeat.go
@@ -8,47 +8,48 @@
 	"reedtrack/internal/protocol"
 )
 
-// The holder's side of heartbeat_relay.go.
+// This file implements the holder's side of heartbeat_relay.go.
 
 const (
-	// maxRelayedTasks is how many tasks a relayed heartbeat may list.
+	// maxRelayedTasks is the maximum number of tasks that a relayed heartbeat may list.
 	maxRelayedTasks = 4096
-	// relayHops is how often a relayed heartbeat has been relayed: it goes to the holder
-	// or nowhere.
-	relayHops = 1
-	// maxLoggedRefusals bounds the refusals that are logged.
+	// relayHopCount is the hop count of a relayed heartbeat. It is only ever relayed once,
+	// directly to the holder.
+	relayHopCount = 1
+	// maxLoggedRefusals is the maximum number of distinct refusals that are logged.
 	maxLoggedRefusals = 64
 )
 
-// RelayedHeartbeat is a worker's heartbeat that a controller relays to the holder of
-// the machine's shard.
+// RelayedHeartbeat is a worker's heartbeat that a controller relays to the holder of the
+// machine's shard.
 type RelayedHeartbeat struct {
 	From    string             `cbor:"From"`    // the controller that relays
 	Session uint64             `cbor:"Session"` // its session
-	Hops    int                `cbor:"Hops"`    // how often the heartbeat has been relayed
+	Hops    int                `cbor:"Hops"`    // how many times the heartbeat has been relayed
 	Report  protocol.Heartbeat `cbor:"Report"`
 }
 
-// relayRefusal is why a relayed heartbeat is refused.
+// relayRefusal is the reason why a relayed heartbeat is refused.
 type relayRefusal struct {
 	from   string // the controller that relayed it
 	reason string
 }
 
-// Error names the controller and the reason.
+// Error returns a message with the controller and the reason.
 func (e relayRefusal) Error() string {
 	return fmt.Sprintf("heartbeat relayed by %s: %s", e.from, e.reason)
 }
 
-// checkRelayed returns an error for a relayed heartbeat that must not be looked at.
-func (n *Node) checkRelayed(relayed *RelayedHeartbeat) error {
+// checkRelayedHeartbeat returns an error for a relayed heartbeat that must not be
+// processed.
+func (n *Node) checkRelayedHeartbeat(relayed *RelayedHeartbeat) error {
 	past := n.session.past[relayed.From]
 	switch {
 	case n.peers[relayed.From] == nil:
 		return relayRefusal{relayed.From, "unknown controller"}
 	case past != nil && past.IsExpired(relayed.Session):
 		return relayRefusal{relayed.From, "too old: its session has ended"}
-	case relayed.Hops != relayHops:
+	case relayed.Hops != relayHopCount:
 		return relayRefusal{relayed.From, "relayed before"}
 	case len(relayed.Report.Tasks) > maxRelayedTasks:
 		return relayRefusal{relayed.From, "too large"}
@@ -56,11 +57,11 @@
 	return relayed.Report.Validate()
 }
 
-// receiveRelayed answers a relayed heartbeat as the holder of its shard.
-func (n *Node) receiveRelayed(relayed *RelayedHeartbeat) HeartbeatAnswer {
+// receiveRelayedHeartbeat answers a relayed heartbeat as the holder of its shard.
+func (n *Node) receiveRelayedHeartbeat(relayed *RelayedHeartbeat) HeartbeatAnswer {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if err := n.checkRelayed(relayed); err != nil {
+	if err := n.checkRelayedHeartbeat(relayed); err != nil {
 		n.logRelayRefusal(relayed.From, err)
 		return unavailableAnswer
 	}
@@ -79,8 +80,8 @@
 	return n.redirect(n.records.Shards[shardIndex].Value.Holder.Name)
 }
 
-// logRelayRefusal logs that a controller's relayed heartbeat is refused, once for
-// each reason.
+// logRelayRefusal logs that a relayed heartbeat is refused, once for each controller and
+// reason.
 func (n *Node) logRelayRefusal(from string, err error) {
 	refusal := relayRefusal{from, "invalid"}
 	errors.As(err, &refusal)
--- a/internal/coordination/schema_test.go
+++ b/internal/coordination/schema_test.go
@@ -15,10 +15,9 @@
 	"reedtrack/internal/storage"
 )
 
-// What the previous version wrote (testdata/production, made by its code) is
-// read without loss, and before the schema upgrade this version writes the same
-// bytes: a field that the other doesn't know would be lost when it writes a
-// record again.
+// Records of the previous version (testdata/production, written by its code) are read
+// without loss, and before the schema upgrade this version writes the same bytes: a field
+// that the other version does not know would be lost when it rewrites a record.
 func TestPreviousVersionRecords(t *testing.T) {
 	for name, record := range map[string]any{
 		"job":       new(storage.Job),
@@ -41,7 +40,8 @@
 	}
 }
 
-// The same of the messages between controllers.
+// Messages of the previous version between controllers are read without loss and written
+// as the same bytes.
 func TestPreviousVersionMessages(t *testing.T) {
 	encoding, _ := cbor.EncOptions{Sort: cbor.SortCanonical}.EncMode()
 	for name, message := range map[string]any{
@@ -60,7 +60,7 @@
 	}
 }
 
-// readProduction reads what the previous version wrote.
+// readProduction reads a file written by the previous version.
 func readProduction(t *testing.T, file string) []byte {
 	t.Helper()
 	raw, err := os.ReadFile(filepath.Join("testdata/production", file))
@@ -70,18 +70,17 @@
 	return raw
 }
 
-// A grant in chunks says the same as one in a record; a version without support
-// for chunks can't decode the head, and so never takes the shard for one
-// without machines.
+// A grant in chunks is equivalent to one in a single record. A version without support for
+// chunks can't decode the head, so it never mistakes the shard for one without machines.
 func TestSplitGrant(t *testing.T) {
 	w := newWorld(1, nil)
 	n := New(w.settings, w.settings.Defaults(), nil, nil, nil, nil)
-	n.apply(storage.GrantKey(0), readProduction(t, "grant.json"), 7)
+	n.applyChange(storage.GrantKey(0), readProduction(t, "grant.json"), 7)
 	before := n.records.Grants[0].Value
-	n.apply(storage.SchemaVersionKey, []byte(`{"form":2}`), 8)
+	n.applyChange(storage.SchemaVersionKey, []byte(`{"form":2}`), 8)
 	w.settings.Deployment.State.Next = nil
 	n.records.Leader.Revision = 5
-	w.settings.Deployment.State.ValueKB = 0.35 // one machine a chunk
+	w.settings.Deployment.State.ValueKB = 0.35 // one machine per chunk
 	revision, steps := uint64(9), 0
 	for ; steps < 20; steps++ {
 		txn, _ := n.nextSplitTxn()
@@ -90,11 +89,11 @@
 		}
 		for _, put := range txn.Writes {
 			raw, _ := json.Marshal(put.Value)
-			n.apply(put.Put, raw, revision)
+			n.applyChange(put.Put, raw, revision)
 		}
 		revision++
 		if n.records.Grants[0].Value.Generation == 0 && !reflect.DeepEqual(before, n.records.Grants[0].Value) {
-			t.Fatal("chunks count before the grant says so")
+			t.Fatal("chunks take effect before the grant is split")
 		}
 	}
 	after := n.records.Grants[0].Value
@@ -110,29 +109,29 @@
 	if json.Unmarshal(head, &asFormerVersion) == nil {
 		t.Error("the former version would take the shard for one without machines")
 	}
-	// A chunk that can't be decoded leaves the shard as it is.
-	n.apply(storage.GrantChunkKey(0, 0), []byte(`{"of":7,"blocks":{"names":["0x"]}}`), revision)
+	// A chunk that can't be decoded leaves the shard unchanged.
+	n.applyChange(storage.GrantChunkKey(0, 0), []byte(`{"of":7,"blocks":{"names":["0x"]}}`), revision)
 	if !reflect.DeepEqual(after, n.records.Grants[0].Value) {
-		t.Error("machines are missing with a chunk that can't be decoded")
+		t.Error("a chunk that can't be decoded changes the shard's machines")
 	}
-	// A schema of a later version stops this one.
-	n.apply(storage.SchemaVersionKey, fmt.Appendf(nil, `{"form":%d}`, storage.SchemaLatest+1), revision+1)
+	// A newer schema version is not supported.
+	n.applyChange(storage.SchemaVersionKey, fmt.Appendf(nil, `{"form":%d}`, storage.SchemaLatest+1), revision+1)
 	if n.records.SupportsSchema() {
 		t.Error("supports a schema that it doesn't know")
 	}
 }
 
-// The upgrade needs the markers of all controllers, up or not, and is the
-// leader's. A marker of an older version does not count, and is written again.
+// The upgrade requires the markers of all controllers, whether they are up or not, and is
+// performed by the leader. A marker of an older version does not count and is rewritten.
 func TestSchemaNeedsAllVersionMarkers(t *testing.T) {
 	w := newWorld(1, nil)
 	var sent []protocol.Txn
 	n := New(w.settings, w.settings.Defaults(), storage.NewClientWithTransport(txnRecorder{&sent}, 1000, 1000, 1), nil, nil, nil)
 	n.session.id, n.records.Leader.Value = 4, storage.Controller{Name: "n0", Session: 4}
-	n.apply(storage.VersionMarkerKey("n0"), []byte(`{"form":2}`), 7)
-	n.apply(storage.VersionMarkerKey("n1"), []byte(`{"form":2}`), 8)
-	n.apply(storage.VersionMarkerKey("n2"), []byte(`{"form":2}`), 9)
-	n.apply(storage.SchemaVersionKey, []byte(`{"form":2}`), 9)
+	n.applyChange(storage.VersionMarkerKey("n0"), []byte(`{"form":2}`), 7)
+	n.applyChange(storage.VersionMarkerKey("n1"), []byte(`{"form":2}`), 8)
+	n.applyChange(storage.VersionMarkerKey("n2"), []byte(`{"form":2}`), 9)
+	n.applyChange(storage.SchemaVersionKey, []byte(`{"form":2}`), 9)
 	newest := 0
 	for _, want := range []string{storage.VersionMarkerKey("n0"), "", "", storage.SchemaVersionKey, ""} {
 		sent = nil
@@ -147,10 +146,10 @@
 		schema := fmt.Appendf(nil, `{"form":%d}`, storage.SchemaLatest)
 		switch newest {
 		case 0, 1, 2:
-			n.apply(storage.VersionMarkerKey(fmt.Sprint("n", newest)), schema, uint64(10+newest))
+			n.applyChange(storage.VersionMarkerKey(fmt.Sprint("n", newest)), schema, uint64(10+newest))
 			newest++
 		case 3:
-			n.apply(storage.SchemaVersionKey, schema, 20)
+			n.applyChange(storage.SchemaVersionKey, schema, 20)
 		}
 	}
 	if !n.records.SplitGrantsEnabled() || !n.records.HeartbeatProxiesEnabled() {
@@ -158,8 +157,8 @@
 	}
 }
 
-// apply applies one change.
-func (n *Node) apply(path string, data []byte, revision uint64) {
+// applyChange applies one change to the replicated records.
+func (n *Node) applyChange(path string, data []byte, revision uint64) {
 	change := protocol.Change{Put: path, Value: data, Revision: revision}
 	if data == nil {
 		change = protocol.Change{Delete: path, Revision: revision}
--- a/internal/coordination/sim_delegation_order_test.go
+++ b/internal/coordination/sim_delegation_order_test.go
@@ -74,7 +74,7 @@
 	*delayCase
 	w                *world
 	mu               sync.Mutex // guards all below; acquired before the locks of the world and the nodes
-	machines         []*cutMachine
+	machines         []*partitionedMachine
 	attempts         map[string]int
 	sent             map[string]bool   // kinds of writes that each controller has sent since the partition
 	forced           map[writeKind]int // the highest unanswered attempt of each kind
@@ -86,7 +86,9 @@
 }
 
 // sinceCut returns the time since the last partition began.
-func (o *delayCaseRun) sinceCut() time.Duration { return time.Since(o.w.startedAt) - o.lastCut().at }
+func (o *delayCaseRun) sinceCut() time.Duration {
+	return time.Since(o.w.startedAt) - o.lastPartition().at
+}
 
 // logf appends a line with the current time to the log.
 func (o *delayCaseRun) logf(format string, a ...any) {
@@ -105,13 +107,13 @@
 	o.attempts[write]++
 	attempt := o.attempts[write]
 	o.recordSent(sender, kind, txn)
-	isOther := slices.Contains(o.others, kind) && !o.sent[sender+string(kind)]
-	if isOther && o.isHeld(sender, kind) || kind == delegationWrite && o.mute == sender {
+	isOther := slices.Contains(o.competingWrites, kind) && !o.sent[sender+string(kind)]
+	if isOther && o.isHeld(sender, kind) || kind == delegationWrite && o.deniedController == sender {
 		return forcedOutcome{refused: true}
 	}
 	outcome := forcedOutcome{}
 	if attempt <= o.unanswered[kind] || isOther && o.isDue(sender) {
-		outcome.late = lateBy
+		outcome.late = lateWriteDelay
 		o.forced[kind] = max(o.forced[kind], attempt)
 		if isOther {
 			o.sent[sender+string(kind)] = true
@@ -137,15 +139,15 @@
 func (o *delayCaseRun) isHeld(sender string, kind writeKind) bool {
 	since := o.sinceCut()
 	if since < 0 {
-		return since > -heldBefore || kind == schemaWrite
+		return since > -rejectBeforePartition || kind == schemaWrite
 	}
-	return o.concerns(sender) && since < dueAfter
+	return o.concerns(sender) && since < competingWriteDelay
 }
 
 // isDue reports whether another kind of write may now precede a delegation or an
 // acknowledgement, starting within the last second before these are due.
 func (o *delayCaseRun) isDue(sender string) bool {
-	return o.concerns(sender) && o.sinceCut() >= dueAfter && o.sinceCut() < maxProxyDelay
+	return o.concerns(sender) && o.sinceCut() >= competingWriteDelay && o.sinceCut() < maxProxyDelay
 }
 
 // concerns reports whether a controller is a proxy of the first cut-off machine or, with
@@ -177,7 +179,7 @@
 }
 
 // recordStep records the first time that a machine reaches a step.
-func (o *delayCaseRun) recordStep(m *cutMachine, step string) {
+func (o *delayCaseRun) recordStep(m *partitionedMachine, step string) {
 	if _, found := m.steps[step]; !found {
 		m.steps[step] = o.sinceCut()
 	}
@@ -192,7 +194,7 @@
 	}
 	time.Sleep(-o.sinceCut() + time.Millisecond)
 	o.findMachines()
-	for o.sinceCut() < min(o.lastCut().duration, 30*sec) {
+	for o.sinceCut() < min(o.lastPartition().duration, 30*sec) {
 		o.mu.Lock()
 		for _, m := range o.machines {
 			o.observe(m)
@@ -220,28 +222,28 @@
 				n.node.mu.Lock()
 				shard := n.node.records.ShardOfMachine[id]
 				n.node.mu.Unlock()
-				o.machines = append(o.machines, &cutMachine{worker: worker, shard: shard, holder: n, session: worker.session, steps: map[string]time.Duration{}})
+				o.machines = append(o.machines, &partitionedMachine{worker: worker, shard: shard, holder: n, session: worker.session, steps: map[string]time.Duration{}})
 			}
 		}
 	}
 	// The busiest holder is in zone a: it is put first in the role whose writes are delayed.
-	slices.SortStableFunc(o.machines, func(a, b *cutMachine) int { return cmp.Compare(a.worker.request.Zone, b.worker.request.Zone) })
+	slices.SortStableFunc(o.machines, func(a, b *partitionedMachine) int { return cmp.Compare(a.worker.request.Zone, b.worker.request.Zone) })
 	if o.beforeAck {
 		slices.Reverse(o.machines)
 	}
 }
 
 // observe records the steps visible at a machine's holder, its proxies and its worker.
-func (o *delayCaseRun) observe(m *cutMachine) {
+func (o *delayCaseRun) observe(m *partitionedMachine) {
 	holder, id := m.holder.node, m.worker.id
 	holder.mu.Lock()
 	if holder.records.DelegatedMachines[m.shard][id] {
-		o.recordStep(m, shownAtHolder)
+		o.recordStep(m, visibleToHolder)
 	}
 	holder.mu.Unlock()
 	answerable := slices.ContainsFunc(o.w.nodes, func(n *simNode) bool { return n.zone == m.worker.request.Zone && n.node.mayAnswerMachine(id) })
 	if answerable {
-		o.recordStep(m, shownAtProxy)
+		o.recordStep(m, visibleToProxy)
 	}
 	if answerable != m.answerable {
 		o.logf("%s may be answered: %v", id, answerable)
@@ -249,7 +251,7 @@
 	m.answerable = answerable
 	o.w.mu.Lock()
 	defer o.w.mu.Unlock()
-	if m.worker.session == m.session && m.worker.lastAcknowledged.Sub(o.w.startedAt) > o.lastCut().at {
+	if m.worker.session == m.session && m.worker.lastAcknowledged.Sub(o.w.startedAt) > o.lastPartition().at {
 		o.recordStep(m, firstAnswer)
 	}
 }
@@ -262,16 +264,16 @@
 	o.w.mu.Lock()
 	defer o.w.mu.Unlock()
 	for _, m := range o.machines {
-		shown, found := m.steps[shownAtProxy]
-		from := o.w.startedAt.Add(o.lastCut().at + shown)
+		shown, found := m.steps[visibleToProxy]
+		from := o.w.startedAt.Add(o.lastPartition().at + shown)
 		heartbeats := m.worker.trace.heartbeats
 		for i, h := range heartbeats {
-			if !found || h.to != o.mute || h.status != http.StatusMisdirectedRequest || h.sentAt.Before(from) {
+			if !found || h.to != o.deniedController || h.status != http.StatusMisdirectedRequest || h.sentAt.Before(from) {
 				continue
 			}
 			o.redirectsByMuted++
 			if i+1 < len(heartbeats) && heartbeats[i+1].outcome == heartbeatCutOff {
-				m.detours++
+				m.holderRedirects++
 			}
 		}
 		o.log = append(o.log, m.worker.id+" "+o.describeHeartbeats(m))
@@ -279,10 +281,10 @@
 }
 
 // describeHeartbeats lists a machine's heartbeats from the partition to its first answer.
-func (o *delayCaseRun) describeHeartbeats(m *cutMachine) string {
+func (o *delayCaseRun) describeHeartbeats(m *partitionedMachine) string {
 	var text strings.Builder
 	for _, h := range m.worker.trace.heartbeats {
-		at := h.sentAt.Sub(o.w.startedAt) - o.lastCut().at
+		at := h.sentAt.Sub(o.w.startedAt) - o.lastPartition().at
 		if answered, found := m.steps[firstAnswer]; at > -sec && (!found || at < answered) {
 			fmt.Fprintf(&text, " %.2f %s %s %d;", at.Seconds(), h.to, h.outcome, h.status)
 		}
