--- a/internal/storage/hedged_txn_test.go
+++ b/internal/storage/hedged_txn_test.go
@@ -36,8 +36,8 @@
 	return &http.Response{StatusCode: status, Body: body, Header: http.Header{}, Request: r}, nil
 }
 
-// A hedged transaction is sent again while it is without an answer, and no more often than
-// allowed; the first answer that holds for all copies counts.
+// A hedged transaction is retransmitted while it is unanswered, up to the allowed number of
+// copies; the first conclusive answer determines the result.
 func TestHedgedTxn(t *testing.T) {
 	const (
 		ok       = http.StatusOK
--- a/internal/storage/index_set.go
+++ b/internal/storage/index_set.go
@@ -7,12 +7,12 @@
 	"strings"
 )
 
-// indexBase is the base of stored indices: a job array of 100,000 tasks stays within a
-// value for any order in which tasks usually complete.
+// indexBase is the base of stored indices. It is large enough for the set of a job array of
+// 100,000 tasks to fit into a value for any usual order of completion.
 const indexBase = 36
 
-// IndexSet is a set of task indices of a job array. Its text is a list of ranges, as in
-// "0-3,7", with numbers in base 36. The zero value is an empty set.
+// IndexSet is a set of task indices of a job array. Its text form is a list of ranges such
+// as "0-3,7", with numbers in base 36. The zero value is an empty set.
 type IndexSet struct {
 	bits  []uint64
 	count int
@@ -36,10 +36,10 @@
 	return true
 }
 
-// Len is the number of indices in the set.
+// Len returns the number of indices in the set.
 func (s *IndexSet) Len() int { return s.count }
 
-// CountBetween is the number of indices in the set from from up to, but not including, to.
+// CountBetween returns the number of indices of the set in [from, to).
 func (s *IndexSet) CountBetween(from, to int) int {
 	n := 0
 	for i := from; i < to; i++ {
@@ -68,12 +68,12 @@
 	}
 }
 
-// String returns the set's text, see ParseIndexSet.
+// String returns the set's text form, see ParseIndexSet.
 func (s *IndexSet) String() string { return s.formatRanges(1) }
 
-// StringWithin returns a text of at most limit bytes, from which the shortest ranges are
-// left out as needed. A completed task that is left out is only run again; its result is
-// kept on the worker's side.
+// StringWithin returns a text form of at most limit bytes, omitting the shortest ranges as
+// necessary. An omitted completed task is only run again; its result is kept on the worker's
+// side.
 func (s *IndexSet) StringWithin(limit int) string {
 	text := s.String()
 	for minLength := 2; len(text) > limit; minLength *= 2 {
@@ -101,7 +101,8 @@
 	return b.String()
 }
 
-// ParseIndexSet reads what String wrote, for indices below limit.
+// ParseIndexSet parses the text form of a set. It returns an error for indices that are not
+// below limit.
 func ParseIndexSet(text string, limit int) (IndexSet, error) {
 	var s IndexSet
 	if text == "" {
--- a/internal/storage/keys.go
+++ b/internal/storage/keys.go
@@ -6,9 +6,8 @@
 	"strings"
 )
 
-// Keys of which there is one, and the prefix of all that is live. Every controller
-// follows what stands under LivePrefix; ended jobs stand outside and are read on
-// demand.
+// Singleton keys and key prefixes. Every controller watches the keys under LivePrefix; ended
+// jobs are stored outside of it and are read on demand.
 const (
 	LivePrefix       = "r/"
 	LeaderKey        = "r/leader"
@@ -22,7 +21,7 @@
 	jobPrefix        = "r/job/"
 	endedJobPrefix   = "e/"
 
-	// Versions that know no schema but SchemaWhole pass over these.
+	// Versions that support only SchemaWhole ignore these.
 	versionMarkerPrefix   = "r/mark/"
 	grantChunkPrefix      = "r/piece/"
 	completionChunkPrefix = "r/done/"
@@ -133,7 +132,7 @@
 	return parseDelegationID(key, delegationAckPrefix)
 }
 
-// parseDelegationID allows for a controller's name with slashes in it.
+// parseDelegationID supports controller names that contain slashes.
 func parseDelegationID(key, prefix string) (DelegationID, bool) {
 	rest, ok := strings.CutPrefix(key, prefix)
 	if !ok {
--- a/internal/storage/leader_budget_test.go
+++ b/internal/storage/leader_budget_test.go
@@ -22,8 +22,8 @@
 	leaderTickPause = 250 * time.Millisecond
 )
 
-// Guards against a leader that writes no shard lease, while the workers of a holder that has
-// ended wait, since users' requests take the write budget ahead of time.
+// Guards against a leader that can't write shard leases while the workers of a terminated
+// holder wait, because users' requests use the write budget in advance.
 func TestLeaderWritesBesideUsers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		client := NewClientWithTransport(accepting{}, 1000, leaderStoreRPS, 3)
--- a/internal/storage/records.go
+++ b/internal/storage/records.go
@@ -2,20 +2,20 @@
 
 import "reedtrack/internal/protocol"
 
-// Controller identifies a controller and its session: the lease of the store that it
-// runs under. Of two processes of one name, one after the other, the sessions differ.
+// Controller identifies a controller and its session, which is the store lease under which
+// it runs. Successive processes of one name have different sessions.
 type Controller struct {
 	Name    string `json:"name"`
 	Session uint64 `json:"session"`
 }
 
-// FencingTokenCounter holds the last fencing token that was given out.
+// FencingTokenCounter holds the last issued fencing token.
 type FencingTokenCounter struct {
 	Last uint64 `json:"n"`
 }
 
-// ShardLease says which controller holds a shard: a unit of jobs, machines and quota.
-// It names the holder's session, so that it is void once that has ended.
+// ShardLease records which controller holds a shard, a unit of jobs, machines and quota. It
+// names the holder's session, and is invalid once that session has ended.
 type ShardLease struct {
 	Holder       Controller `json:"holder"`
 	FencingToken uint64     `json:"term"`
@@ -37,19 +37,20 @@
 	Completed string `json:"done,omitempty"`
 }
 
-// EndedJob is what remains of a job.
+// EndedJob is the record of an ended job.
 type EndedJob struct {
 	Status    string `json:"status"`
-	Completed int    `json:"done"` // how many of its tasks completed
+	Completed int    `json:"done"` // number of completed tasks
 	// EndedAtMS is the Unix time of the end, in milliseconds, from which jobs that
 	// depended on this one count their time. SchemaWhole leaves it out.
 	EndedAtMS int64 `json:"at,omitempty"`
-	// IsService: no job can depend on a service, which has no end of its own.
+	// IsService reports whether the job is a service. A service does not end on its own,
+	// so no job can depend on it.
 	IsService bool `json:"standing,omitempty"`
 }
 
-// CompletionChunk tells which of a job's tasks have completed, from an index on. The
-// chunks of a job cover ranges of indices that don't overlap.
+// CompletionChunk holds the completed tasks of a job from an index on. The chunks of a job
+// cover disjoint ranges of indices.
 type CompletionChunk struct {
 	FirstIndex int    `json:"from"`
 	Completed  string `json:"done"` // see IndexSet.EncodeChunk
@@ -62,21 +63,20 @@
 	MachineTypes []protocol.MachineType `json:"breeds"`
 }
 
-// Delegation names machines of a shard whose heartbeats a controller, the heartbeat
-// proxy, answers or is about to answer in place of the shard's holder. It is written
-// under the lease of the proxy's session. While it stands, nobody may conclude from the
-// machines' silence that their tasks have ended. The proxy answers once the holder has
-// written the DelegationAck of this very record.
+// Delegation lists machines of a shard whose heartbeats a controller, the heartbeat proxy,
+// answers or will answer in place of the shard's holder. It is written under the lease of
+// the proxy's session. While it exists, no controller may conclude from the machines'
+// silence that their tasks have ended. The proxy answers once the holder has written the
+// DelegationAck for this revision of the record.
 type Delegation struct {
 	Session      uint64   `json:"session"`
-	FencingToken uint64   `json:"term"` // the shard's, as the proxy knows it
+	FencingToken uint64   `json:"term"` // the shard's token known to the proxy
 	Machines     []string `json:"machines"`
 }
 
-// DelegationAck is the holder's acknowledgement of a Delegation: it knows that these
-// machines are delegated, and no start that it sent directly to one of them may still be
-// carried out once the proxy has answered the machine. It is written under the lease of
-// the holder's session.
+// DelegationAck is the holder's acknowledgement of a Delegation: the holder knows that these
+// machines are delegated, and no direct start to one of them can be executed after the proxy
+// has answered the machine. It is written under the lease of the holder's session.
 type DelegationAck struct {
 	DelegationRevision uint64         `json:"of"`
 	Session            uint64         `json:"session"`
@@ -85,16 +85,16 @@
 	Fences             []MachineFence `json:"fences,omitempty"` // from SchemaMachineFences on
 }
 
-// MachineFence is a newer fencing token of a machine to which direct starts are
-// unanswered. The token is minted by the transaction that writes the first
-// DelegationAck with it. A worker that has seen it refuses those starts.
+// MachineFence is a newer fencing token of a machine to which direct starts are unanswered.
+// The transaction that writes the first DelegationAck with the token issues it. A worker
+// that has seen the token rejects those starts.
 type MachineFence struct {
 	Machine      string        `json:"m"`
 	FencingToken uint64        `json:"t"`
 	Starts       []FencedStart `json:"s,omitempty"` // those that were unanswered
 }
 
-// FencedStart names an attempt of a task whose start was sent directly.
+// FencedStart identifies an attempt of a task whose start was sent directly.
 type FencedStart struct {
 	Task    string `json:"p"`
 	Attempt uint64 `json:"n"`
