--- a/internal/outputs/disk/attempt.go
+++ b/internal/outputs/disk/attempt.go
@@ -13,16 +13,16 @@
 // attempt is the state of an attempt in memory, and what of it the index does not
 // have yet. Store.mu guards it.
 type attempt struct {
-	key           string
-	state         *pb.AttemptState
-	seal          *pb.Seal             // if the index does not have it
-	newBlocks     []blockRef           // that the index does not have
-	damagedBlocks map[uint64]*pb.Place // by first record: found damaged, and still in the index
-	dirty         bool                 // changed since the last checkpoint
-	dropReason    string               // empty: not dropped
-	uncounted     bool                 // dropped, and taken out of the counts
-	watcher       chan struct{}        // closed at the next change; nil: nobody waits
-	usedAt        time.Time
+	key               string
+	state             *pb.AttemptState
+	seal              *pb.Seal             // if the index does not have it
+	newBlocks         []blockRef           // that the index does not have
+	damagedBlocks     map[uint64]*pb.Place // by first record: found damaged, and still in the index
+	dirty             bool                 // changed since the last checkpoint
+	dropReason        string               // empty: not dropped
+	removedFromCounts bool                 // dropped, and taken out of the counts
+	watcher           chan struct{}        // closed at the next change; nil: nobody waits
+	usedAt            time.Time
 }
 
 // blockRef says where a block is.
--- a/internal/outputs/disk/bench_test.go
+++ b/internal/outputs/disk/bench_test.go
@@ -34,7 +34,7 @@
 				b.Fatal(err)
 			}
 		}
-		came := s.Stats().DiskBytes
+		writtenBytes := s.Stats().DiskBytes
 		s.Close()
 		if s, err = Open(Options{Dir: s.Dir(), CompactionDelay: time.Second, CheckpointInterval: time.Hour, Now: func() time.Time { return clock }}); err != nil {
 			b.Fatal(err)
@@ -47,7 +47,7 @@
 				b.Fatal(err)
 			}
 		}
-		b.ReportMetric(float64(came)/float64(raw), "as-it-came/byte")
+		b.ReportMetric(float64(writtenBytes)/float64(raw), "as-it-came/byte")
 		b.ReportMetric(float64(s.Stats().DiskBytes)/float64(raw), "compacted/byte")
 		s.Close()
 	}
--- a/internal/outputs/disk/blocks.go
+++ b/internal/outputs/disk/blocks.go
@@ -55,7 +55,7 @@
 		case errors.Is(err, ErrNotFound):
 			return blocks, true, nil
 		case errors.Is(err, ErrDamaged):
-			s.blockDamaged(key, ref)
+			s.markBlockDamaged(key, ref)
 			return blocks, isFirst, nil
 		default:
 			return blocks, false, err
@@ -185,9 +185,9 @@
 // firstOfBlockKey returns the first record in the key of a block.
 func firstOfBlockKey(k []byte) uint64 { return binary.BigEndian.Uint64(k[8:16]) }
 
-// blockDamaged notes that the records of a block are not held any more, so that repair
+// markBlockDamaged notes that the records of a block are not held any more, so that repair
 // copies them again from another member.
-func (s *Store) blockDamaged(key []byte, ref blockRef) {
+func (s *Store) markBlockDamaged(key []byte, ref blockRef) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	a := s.loadAttempt(string(key))
@@ -221,7 +221,7 @@
 func (s *Store) Invalidate(key []byte) error {
 	refs, err := s.findBlocks(key, 0, 0, 0, math.MaxInt)
 	for _, ref := range refs {
-		s.blockDamaged(key, ref)
+		s.markBlockDamaged(key, ref)
 	}
 	return err
 }
--- a/internal/outputs/disk/checkpoint.go
+++ b/internal/outputs/disk/checkpoint.go
@@ -104,8 +104,8 @@
 // takeAttempt collects what has changed of an attempt. The caller holds mu.
 func (s *Store) takeAttempt(a *attempt) attemptChange {
 	a.dirty = false
-	if a.dropReason != "" && !a.uncounted {
-		a.uncounted = true
+	if a.dropReason != "" && !a.removedFromCounts {
+		a.removedFromCounts = true
 		s.position.Attempts--
 		s.addAttemptBytes(a.key, -int64(a.state.StoredBytes))
 	}
@@ -196,10 +196,10 @@
 // evictAttempts lets go of attempts that nobody has asked for lately, once in a while.
 // The caller holds mu.
 func (s *Store) evictAttempts(now time.Time) {
-	if now.Sub(s.evictedAt) < evictInterval {
+	if now.Sub(s.lastEvictionAt) < evictInterval {
 		return
 	}
-	s.evictedAt = now
+	s.lastEvictionAt = now
 	for key, a := range s.attempts {
 		isUnused := !a.dirty && len(a.newBlocks) == 0 && a.watcher == nil
 		if isUnused && now.Sub(a.usedAt) > evictAfter {
--- a/internal/outputs/disk/checkpoint_test.go
+++ b/internal/outputs/disk/checkpoint_test.go
@@ -46,7 +46,7 @@
 				t.Fatal(refs, err)
 			}
 			fs.beforeTransaction = func() {
-				s.blockDamaged(key, refs[0])
+				s.markBlockDamaged(key, refs[0])
 				for i := range late {
 					if err := s.Put(ctx, blockEntry(key, 12+4*i, 16+4*i)); err != nil {
 						t.Error(err)
--- a/internal/outputs/disk/chunks.go
+++ b/internal/outputs/disk/chunks.go
@@ -64,7 +64,7 @@
 		case errors.Is(err, ErrNotFound):
 			continue
 		case errors.Is(err, ErrDamaged):
-			s.chunkDamaged(key, place)
+			s.markChunkDamaged(key, place)
 		}
 		return nil, err
 	}
@@ -98,9 +98,9 @@
 	return place
 }
 
-// chunkDamaged notes that a chunk is not held any more, so that repair copies it again
+// markChunkDamaged notes that a chunk is not held any more, so that repair copies it again
 // from another member.
-func (s *Store) chunkDamaged(key string, p *pb.Place) {
+func (s *Store) markChunkDamaged(key string, p *pb.Place) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if newer := s.newChunks[key]; newer != nil && !samePlace(newer, p) || s.lostChunks[key] != nil {
--- a/internal/outputs/disk/commit.go
+++ b/internal/outputs/disk/commit.go
@@ -16,7 +16,7 @@
 	entries []placedEntry
 	lsn     uint64 // the last number given; those of refused requests stay unused
 	now     time.Time
-	earlier map[string]*pendingAttempt // by key: what the batch holds so far
+	pending map[string]*pendingAttempt // by key: what the batch holds so far
 }
 
 // placedEntry is an entry and where it will be. Until the segment is known, the offset
@@ -37,7 +37,7 @@
 func (s *Store) commitBatch(requests []*putRequest) []error {
 	errs := make([]error, len(requests))
 	s.mu.Lock()
-	c := &commit{lsn: s.position.Lsn, now: s.options.Now(), earlier: map[string]*pendingAttempt{}}
+	c := &commit{lsn: s.position.Lsn, now: s.options.Now(), pending: map[string]*pendingAttempt{}}
 	for i, r := range requests {
 		errs[i] = s.addRequest(c, r)
 	}
@@ -71,7 +71,7 @@
 }
 
 func (s *Store) addItem(c *commit, item putItem) error {
-	entries, err := s.newEntries(item, c.earlier)
+	entries, err := s.newEntries(item, c.pending)
 	if err != nil {
 		return err
 	}
@@ -168,7 +168,7 @@
 		if s.hasChunk(string(chunkKey(key, c.Sha256))) {
 			return nil, nil
 		}
-		return unnumbered(e), nil
+		return withoutLSN(e), nil
 	}
 	a := s.loadAttempt(key)
 	if a != nil && a.dropReason != "" {
@@ -202,11 +202,11 @@
 			return nil, nil
 		}
 	}
-	return unnumbered(e), nil
+	return withoutLSN(e), nil
 }
 
-// unnumbered returns a copy of an entry to which this store can give its own number.
-func unnumbered(e *pb.Entry) []*pb.Entry {
+// withoutLSN returns a copy of an entry to which this store can give its own number.
+func withoutLSN(e *pb.Entry) []*pb.Entry {
 	return []*pb.Entry{{Key: e.Key, What: e.What}}
 }
 
--- a/internal/outputs/disk/compact.go
+++ b/internal/outputs/disk/compact.go
@@ -215,7 +215,7 @@
 			return nil, err
 		}
 		if len(bad) > 0 {
-			if err := c.noteDamage(ctx, g.id); err != nil {
+			if err := c.scrubDamagedInput(ctx, g.id); err != nil {
 				return nil, err
 			}
 		}
@@ -249,10 +249,10 @@
 	return entry
 }
 
-// noteDamage scrubs an input of which something can't be read: what the index points
+// scrubDamagedInput scrubs an input of which something can't be read: what the index points
 // to in there must be known to be lost before the segment is removed. If that is
 // anything, the compaction is tried again.
-func (c *compaction) noteDamage(ctx context.Context, segment uint32) error {
+func (c *compaction) scrubDamagedInput(ctx context.Context, segment uint32) error {
 	found, err := c.store.scrubSegment(ctx, c.limit, segment)
 	if err == nil && found.Damaged == 0 {
 		return nil
--- a/internal/outputs/disk/compactwrite.go
+++ b/internal/outputs/disk/compactwrite.go
@@ -29,7 +29,7 @@
 	}
 	e, err := c.store.readEntry(entry.place)
 	if errors.Is(err, ErrDamaged) {
-		c.store.chunkDamaged(entry.key, entry.place)
+		c.store.markChunkDamaged(entry.key, entry.place)
 		return errIndexChanged
 	}
 	if err != nil {
@@ -167,7 +167,7 @@
 		records, err = outputs.Unpack(e.GetBlock())
 	}
 	if errors.Is(err, ErrDamaged) || errors.Is(err, outputs.ErrBlock) {
-		c.store.blockDamaged([]byte(block.key), blockRef{first: block.first, place: block.place})
+		c.store.markBlockDamaged([]byte(block.key), blockRef{first: block.first, place: block.place})
 		return nil, errIndexChanged
 	}
 	return records, err
--- a/internal/outputs/disk/crash_test.go
+++ b/internal/outputs/disk/crash_test.go
@@ -10,11 +10,11 @@
 // crashRun plays lives of a store that each end in a crash, one after the other on one
 // directory.
 type crashRun struct {
-	t       *testing.T
-	seed    uint64
-	firstAt int // the step of the first life in which it crashes
-	lives   int
-	length  int // random actions of a life
+	t               *testing.T
+	seed            uint64
+	firstCrashStep  int // the step of the first life in which it crashes
+	cycles          int
+	actionsPerCycle int // random actions of a life
 
 	dir     string
 	clock   time.Time
@@ -23,15 +23,15 @@
 	crashes int
 }
 
-// play returns whether the last life reached its crash.
-func (r *crashRun) play() bool {
+// run returns whether the last life reached its crash.
+func (r *crashRun) run() bool {
 	r.dir = r.t.TempDir()
 	r.clock = time.Unix(1e6, 0)
 	r.rnd = rand.New(rand.NewPCG(r.seed, 1))
 	r.model = newModel()
 	crashed := false
-	for life := range r.lives {
-		crashed = r.playLife(life)
+	for cycle := range r.cycles {
+		crashed = r.runCycle(cycle)
 		if crashed {
 			r.crashes++
 		}
@@ -47,22 +47,22 @@
 func (r *crashRun) check(s *Store, when string) {
 	r.t.Helper()
 	if err := r.model.check(s); err != nil {
-		r.t.Fatalf("seed %d, first crash at %d, %s: %v", r.seed, r.firstAt, when, err)
+		r.t.Fatalf("seed %d, first crash at %d, %s: %v", r.seed, r.firstCrashStep, when, err)
 	}
 }
 
-func (r *crashRun) playLife(life int) (crashed bool) {
+func (r *crashRun) runCycle(cycle int) (crashed bool) {
 	r.t.Helper()
-	fs := newFaultFS(r.seed+uint64(life)*1000, 0)
+	fs := newFaultFS(r.seed+uint64(cycle)*1000, 0)
 	s := openTestStore(r.t, r.dir, fs, &r.clock)
 	r.check(s, "after a crash")
 	fs.mu.Lock()
-	if fs.crashAt = fs.steps + r.firstAt; life > 0 {
-		fs.crashAt = fs.steps + 1 + r.rnd.IntN(3*r.length)
+	if fs.crashAt = fs.steps + r.firstCrashStep; cycle > 0 {
+		fs.crashAt = fs.steps + 1 + r.rnd.IntN(3*r.actionsPerCycle)
 	}
 	fs.mu.Unlock()
 	dropped := ""
-	for range r.length {
+	for range r.actionsPerCycle {
 		seed := r.rnd.Uint64()
 		if key := droppedBy(rand.New(rand.NewPCG(seed, 2))); key != "" {
 			dropped = key
@@ -84,7 +84,7 @@
 	fs.crashed = true // the process ends here, also if it reached no crash
 	fs.mu.Unlock()
 	s.Kill()
-	fs.tear()
+	fs.loseUnsynced()
 	if dropped != "" { // a drop without an answer may have happened or not
 		delete(r.model.attempts, dropped)
 	}
@@ -97,18 +97,18 @@
 // after the other.
 func TestStoreSurvivesCrashAtEveryStep(t *testing.T) {
 	crashes := 0
-	play := func(seed uint64, firstAt, lives, length int) bool {
-		r := &crashRun{t: t, seed: seed, firstAt: firstAt, lives: lives, length: length}
-		crashed := r.play()
+	runOne := func(seed uint64, firstCrashStep, cycles, actionsPerCycle int) bool {
+		r := &crashRun{t: t, seed: seed, firstCrashStep: firstCrashStep, cycles: cycles, actionsPerCycle: actionsPerCycle}
+		crashed := r.run()
 		crashes += r.crashes
 		return crashed
 	}
 	for seed := range uint64(2) {
-		for at := 1; play(seed, at, 1, 40); at++ {
+		for at := 1; runOne(seed, at, 1, 40); at++ {
 		}
 	}
 	for seed := range uint64(20) {
-		play(100+seed, 1+int(seed)*7, 6, 80)
+		runOne(100+seed, 1+int(seed)*7, 6, 80)
 	}
 	if crashes < 100 {
 		t.Errorf("crashed only %d times", crashes)
--- a/internal/outputs/disk/fault_test.go
+++ b/internal/outputs/disk/fault_test.go
@@ -51,7 +51,7 @@
 		t.Fatalf("reads while full: %d blocks up to %d, %v", len(blocks), next, err)
 	}
 	s.Kill()
-	fs.tear()
+	fs.loseUnsynced()
 	// Records 6 and 7 of the write that failed stand in a segment: they do not count,
 	// since the one after it has begun with their number.
 	s = openTestStore(t, dir, nil, &clock)
--- a/internal/outputs/disk/faultfs_test.go
+++ b/internal/outputs/disk/faultfs_test.go
@@ -123,9 +123,9 @@
 	return errors.Join(f(), err)
 }
 
-// tear leaves of the files what a crashed machine leaves: what was synced, and any part
+// loseUnsynced leaves of the files what a crashed machine leaves: what was synced, and any part
 // of the rest.
-func (fs *faultFS) tear() {
+func (fs *faultFS) loseUnsynced() {
 	fs.mu.Lock()
 	defer fs.mu.Unlock()
 	for name, f := range fs.files {
@@ -134,10 +134,10 @@
 			continue
 		}
 		if f.size > f.synced {
-			loose := f.size - f.synced
-			f.f.Truncate(f.synced + fs.rnd.Int64N(loose+1))
+			unsynced := f.size - f.synced
+			f.f.Truncate(f.synced + fs.rnd.Int64N(unsynced+1))
 			if fs.rnd.IntN(2) == 0 { // a page that was never written
-				at := f.synced + fs.rnd.Int64N(loose)
+				at := f.synced + fs.rnd.Int64N(unsynced)
 				f.f.WriteAt(make([]byte, fs.rnd.IntN(64)), at)
 			}
 		}
--- a/internal/outputs/disk/model_test.go
+++ b/internal/outputs/disk/model_test.go
@@ -20,20 +20,20 @@
 }
 
 type modelAttempt struct {
-	acked  map[uint64]bool
-	sealed int // records, or -1
-	chunk  int // named by the seal, or -1
-	open   bool
+	acked         map[uint64]bool
+	sealedRecords int // records, or -1
+	chunk         int // named by the seal, or -1
+	open          bool
 }
 
 func newModel() *model {
 	return &model{attempts: map[string]*modelAttempt{}, chunks: map[int]bool{}}
 }
 
-func (m *model) at(key []byte) *modelAttempt {
+func (m *model) attempt(key []byte) *modelAttempt {
 	a := m.attempts[string(key)]
 	if a == nil {
-		a = &modelAttempt{acked: map[uint64]bool{}, sealed: -1, chunk: -1}
+		a = &modelAttempt{acked: map[uint64]bool{}, sealedRecords: -1, chunk: -1}
 		m.attempts[string(key)] = a
 	}
 	return a
@@ -46,13 +46,13 @@
 
 // Bounds of the draw by which model.step chooses an action.
 const (
-	drawBlock   = 10
-	drawChunk   = 12
-	drawSeal    = 14
-	drawDrop    = 15
-	drawOrphans = 16
-	drawCommit  = 18
-	drawEnd     = 20
+	drawBlock      = 10
+	drawChunk      = 12
+	drawSeal       = 14
+	drawDrop       = 15
+	drawOrphans    = 16
+	drawCheckpoint = 18
+	drawLimit      = 20
 )
 
 // droppedBy returns the key that the step of a source of random numbers drops; empty:
@@ -60,7 +60,7 @@
 func droppedBy(rnd *rand.Rand) string {
 	key := randomKey(rnd)
 	rnd.IntN(100)
-	if n := rnd.IntN(drawEnd); n >= drawSeal && n < drawDrop {
+	if n := rnd.IntN(drawLimit); n >= drawSeal && n < drawDrop {
 		return string(key)
 	}
 	return ""
@@ -71,9 +71,9 @@
 func (m *model) step(s *Store, rnd *rand.Rand, clock *time.Time) error {
 	ctx := context.Background()
 	key := randomKey(rnd)
-	a := m.at(key)
+	a := m.attempt(key)
 	*clock = clock.Add(time.Duration(rnd.IntN(100)) * time.Second)
-	switch n := rnd.IntN(drawEnd); {
+	switch n := rnd.IntN(drawLimit); {
 	case n < drawBlock:
 		return a.putBlock(ctx, s, key, rnd)
 	case n < drawChunk:
@@ -89,7 +89,7 @@
 	case n < drawOrphans:
 		_, err := s.RemoveOrphanChunks()
 		return err
-	case n < drawCommit:
+	case n < drawCheckpoint:
 		return s.Checkpoint()
 	default:
 		_, err := s.Compact(ctx, unlimited)
@@ -101,8 +101,8 @@
 func (a *modelAttempt) putBlock(ctx context.Context, s *Store, key []byte, rnd *rand.Rand) error {
 	from := uint64(max(0, len(a.acked)-rnd.IntN(4)+rnd.IntN(3)))
 	to := from + 1 + uint64(rnd.IntN(5))
-	if a.sealed >= 0 {
-		to = min(to, uint64(a.sealed))
+	if a.sealedRecords >= 0 {
+		to = min(to, uint64(a.sealedRecords))
 	}
 	if from >= to {
 		return nil
@@ -131,7 +131,7 @@
 
 // seal seals an attempt after its last record, with an artefact if a chunk is held.
 func (m *model) seal(ctx context.Context, s *Store, key []byte, a *modelAttempt) error {
-	if a.sealed >= 0 || !a.open {
+	if a.sealedRecords >= 0 || !a.open {
 		return nil
 	}
 	records := uint64(0)
@@ -150,7 +150,7 @@
 	}
 	err := s.Put(ctx, sealEntry(key, records, artefacts...))
 	if err == nil {
-		a.sealed, a.chunk = int(records), named
+		a.sealedRecords, a.chunk = int(records), named
 	}
 	return err
 }
@@ -202,7 +202,7 @@
 	if outputs.Spans(held.Spans).Count() != uint64(len(got)) {
 		return fmt.Errorf("spans %v, but %d records", held.Spans, len(got))
 	}
-	if a.sealed >= 0 {
+	if a.sealedRecords >= 0 {
 		return a.checkSeal(s, key, held)
 	}
 	return nil
@@ -241,8 +241,8 @@
 }
 
 func (a *modelAttempt) checkSeal(s *Store, key []byte, held *pb.Held) error {
-	if !held.Summary.Sealed || held.Summary.Records != uint64(a.sealed) {
-		return fmt.Errorf("sealed with %d records, now %v", a.sealed, held.Summary)
+	if !held.Summary.Sealed || held.Summary.Records != uint64(a.sealedRecords) {
+		return fmt.Errorf("sealed with %d records, now %v", a.sealedRecords, held.Summary)
 	}
 	if a.chunk >= 0 {
 		c, err := s.Chunk("red", testChunk(a.chunk).Sha256)
@@ -254,8 +254,8 @@
 		}
 	}
 	failed, _ := s.Scan(key, nil, pb.Which_WHICH_FAILED, 10)
-	if (len(failed) == 1) != (a.sealed%3 != 0) {
-		return fmt.Errorf("status %d is listed %d times as failed", a.sealed%3, len(failed))
+	if (len(failed) == 1) != (a.sealedRecords%3 != 0) {
+		return fmt.Errorf("status %d is listed %d times as failed", a.sealedRecords%3, len(failed))
 	}
 	return nil
 }
--- a/internal/outputs/disk/put.go
+++ b/internal/outputs/disk/put.go
@@ -58,7 +58,7 @@
 	select {
 	case err := <-r.done:
 		if err == nil {
-			s.noteSealed(r.items)
+			s.refreshSealedAttempts(r.items)
 		}
 		return err
 	case <-s.done:
@@ -124,9 +124,9 @@
 	return nil
 }
 
-// noteSealed brings up to date whether all chunks are held of the attempts that were
+// refreshSealedAttempts brings up to date whether all chunks are held of the attempts that were
 // sealed, so that a list shows them as complete.
-func (s *Store) noteSealed(items []putItem) {
+func (s *Store) refreshSealedAttempts(items []putItem) {
 	for _, item := range items {
 		if len(item.entry.GetSeal().GetArtefacts()) > 0 {
 			s.Held(item.entry.Key)
--- a/internal/outputs/disk/recover.go
+++ b/internal/outputs/disk/recover.go
@@ -35,7 +35,7 @@
 		s.position.Rebuilding, s.position.Segment, s.position.Offset = len(s.segments) > 0, 0, 0
 		err = s.rebuildIndex(compacted, logs)
 	} else {
-		s.noteMissingSegments(indexed)
+		s.recordMissingSegments(indexed)
 		err = s.replayLogs(logs)
 	}
 	if err != nil {
@@ -140,8 +140,8 @@
 	}, nil
 }
 
-// noteMissingSegments notes what the index points to in vain.
-func (s *Store) noteMissingSegments(indexed map[uint32]*pb.SegmentState) {
+// recordMissingSegments notes what the index points to in vain.
+func (s *Store) recordMissingSegments(indexed map[uint32]*pb.SegmentState) {
 	for id := range indexed {
 		if s.segments[id] == nil {
 			slog.Error("segment missing", "segment", id)
--- a/internal/outputs/disk/scrub.go
+++ b/internal/outputs/disk/scrub.go
@@ -75,7 +75,7 @@
 			return err
 		}
 		if damaged {
-			p.store.blockDamaged(key, ref)
+			p.store.markBlockDamaged(key, ref)
 		}
 		if b := e.GetBlock(); b != nil && b.First == next && p.segment == allSegments {
 			if records, err := outputs.Unpack(b); err == nil {
@@ -110,7 +110,7 @@
 			return err
 		}
 		if damaged {
-			p.store.chunkDamaged(string(key), place)
+			p.store.markChunkDamaged(string(key), place)
 		}
 	}
 }
--- a/internal/outputs/disk/store.go
+++ b/internal/outputs/disk/store.go
@@ -85,7 +85,7 @@
 	mu              sync.Mutex
 	attempts        map[string]*attempt     // by key: those that the index lags behind, and those in use
 	dirtyAttempts   map[string]*attempt     // by key: of them, those that the index lags behind
-	evictedAt       time.Time               // when attempts not in use were last let go
+	lastEvictionAt  time.Time               // when attempts not in use were last let go
 	newChunks       map[string]*pb.Place    // by chunk key: those that the index does not have
 	lostChunks      map[string]*pb.Place    // by chunk key: found damaged, and still in the index
 	segments        map[uint32]*segmentInfo // all
--- a/internal/outputs/framing/framing_test.go
+++ b/internal/outputs/framing/framing_test.go
@@ -57,11 +57,11 @@
 // Whatever stands between them, intact frames are found where they stand, and
 // nothing else is taken for one. Run for longer with go test -fuzz FuzzScan.
 func FuzzScan(f *testing.F) {
-	mark := []byte{0xe1, 0x74, 0x5b, 0x9d}
+	magic := []byte{0xe1, 0x74, 0x5b, 0x9d}
 	f.Add([]byte{}, []byte("torn"), []byte("body"), uint16(0))
-	f.Add(mark, append(bytes.Clone(mark), 4, 0, 0, 0), []byte{}, uint16(9))
-	f.Add([]byte("x"), bytes.Repeat(mark, 5), bytes.Repeat([]byte{0xe1}, 300), uint16(40))
-	f.Add(append(bytes.Clone(mark), 0xff, 0xff, 0x7f, 0, 1, 2, 3, 4), []byte("y"), []byte("z"), uint16(3))
+	f.Add(magic, append(bytes.Clone(magic), 4, 0, 0, 0), []byte{}, uint16(9))
+	f.Add([]byte("x"), bytes.Repeat(magic, 5), bytes.Repeat([]byte{0xe1}, 300), uint16(40))
+	f.Add(append(bytes.Clone(magic), 0xff, 0xff, 0x7f, 0, 1, 2, 3, 4), []byte("y"), []byte("z"), uint16(3))
 	f.Fuzz(func(t *testing.T, before, between, body []byte, cut uint16) {
 		frame := newFrame(body)
 		file := append(bytes.Clone(before), frame...)
--- a/internal/outputs/spool/recover.go
+++ b/internal/outputs/spool/recover.go
@@ -93,7 +93,7 @@
 			os.Remove(s.path(n.name))
 			continue
 		}
-		if len(s.tailFiles) == 0 && s.isSecondHalf(f) {
+		if len(s.tailFiles) == 0 && s.isSecondFile(f) {
 			f.gapBefore = nil
 		}
 		s.tailFiles = append(s.tailFiles, f)
@@ -111,10 +111,10 @@
 	return err
 }
 
-// isSecondHalf reports whether the first half of a tail's file has joined the queue
+// isSecondFile reports whether the first half of a tail's file has joined the queue
 // already, because the process was killed in between: then the file's gap counts what
 // that one holds.
-func (s *Spool) isSecondHalf(f *file) bool {
+func (s *Spool) isSecondFile(f *file) bool {
 	if len(s.files) == 0 {
 		return false
 	}
--- a/internal/outputs/spool/tail.go
+++ b/internal/outputs/spool/tail.go
@@ -116,7 +116,7 @@
 // endTail is EndTail for a caller that holds mu.
 func (s *Spool) endTail() error {
 	for len(s.tailFiles) > 0 {
-		if err := s.joinQueue(s.tailFiles[0]); err != nil {
+		if err := s.moveToQueue(s.tailFiles[0]); err != nil {
 			return err
 		}
 		s.tailFiles = s.tailFiles[1:]
@@ -127,8 +127,8 @@
 	return s.addLostGap()
 }
 
-// joinQueue moves a file of a tail into the queue.
-func (s *Spool) joinQueue(f *file) error {
+// moveToQueue moves a file of a tail into the queue.
+func (s *Spool) moveToQueue(f *file) error {
 	f.kind = kindContinued
 	if f.gapBefore != nil {
 		f.kind = kindGap
