--- a/internal/outputs/disk/apply.go
+++ b/internal/outputs/disk/apply.go
@@ -9,8 +9,8 @@
 	pb "reedtrack/internal/outputs/outputsv1"
 )
 
-// applyEntry takes an entry that stands in a segment into the state in memory, after a
-// commit or when a segment is replayed. The caller holds mu.
+// applyEntry applies an entry that is already in a segment to the in-memory state, after a
+// commit or during replay. The caller holds mu.
 func (s *Store) applyEntry(e *pb.Entry, p *pb.Place, now time.Time) {
 	s.version++
 	key := string(e.Key)
@@ -47,7 +47,8 @@
 	s.addLiveBytes(p)
 }
 
-// applyToAttempt applies an entry of an attempt, and reports whether it counts.
+// applyToAttempt applies an entry to its attempt. It returns false for a duplicate, which
+// changes nothing.
 func (s *Store) applyToAttempt(a *attempt, e *pb.Entry, p *pb.Place) bool {
 	switch w := e.What.(type) {
 	case *pb.Entry_Open:
@@ -57,7 +58,7 @@
 	case *pb.Entry_Block:
 		first, end := w.Block.First, w.Block.First+uint64(w.Block.Count)
 		if a.spans().Missing(first, end).Count() != uint64(w.Block.Count) {
-			return false // twice in one batch, or in two segments after a compaction
+			return false // duplicate within a batch, or in two segments after a compaction
 		}
 		a.state.Spans = a.spans().Add(first, end)
 		outputs.AddCounts(a.state.Tally, w.Block.Tally)
@@ -91,7 +92,7 @@
 	a.seal = seal
 }
 
-// addLiveBytes notes that something points to a place. The caller holds mu.
+// addLiveBytes counts a place as live in its segment. The caller holds mu.
 func (s *Store) addLiveBytes(p *pb.Place) {
 	if g := s.segments[p.Segment]; g != nil {
 		g.liveBytes += uint64(p.Length)
@@ -99,7 +100,7 @@
 	}
 }
 
-// releasePlace notes that nothing points to a place any more. The caller holds mu.
+// releasePlace counts a place as dead in its segment. The caller holds mu.
 func (s *Store) releasePlace(p *pb.Place) {
 	if g := s.segments[p.Segment]; g != nil {
 		g.liveBytes -= min(g.liveBytes, uint64(p.Length))
@@ -107,7 +108,7 @@
 	}
 }
 
-// hasChunk reports whether a chunk is held. The caller holds mu.
+// hasChunk reports whether a chunk is stored. The caller holds mu.
 func (s *Store) hasChunk(key string) bool {
 	if s.newChunks[key] != nil {
 		return true
--- a/internal/outputs/disk/attempt.go
+++ b/internal/outputs/disk/attempt.go
@@ -10,31 +10,31 @@
 	pb "reedtrack/internal/outputs/outputsv1"
 )
 
-// attempt is the state of an attempt in memory, and what of it the index does not
-// have yet. Store.mu guards it.
+// attempt is the in-memory state of an attempt, with the changes that are not in the index
+// yet. Store.mu guards it.
 type attempt struct {
 	key               string
 	state             *pb.AttemptState
-	seal              *pb.Seal             // if the index does not have it
-	newBlocks         []blockRef           // that the index does not have
-	damagedBlocks     map[uint64]*pb.Place // by first record: found damaged, and still in the index
+	seal              *pb.Seal             // nil unless it is missing from the index
+	newBlocks         []blockRef           // not in the index yet
+	damagedBlocks     map[uint64]*pb.Place // by first record: found damaged, but still in the index
 	dirty             bool                 // changed since the last checkpoint
-	dropReason        string               // empty: not dropped
-	removedFromCounts bool                 // dropped, and taken out of the counts
-	watcher           chan struct{}        // closed at the next change; nil: nobody waits
+	dropReason        string               // empty if not dropped
+	removedFromCounts bool                 // dropped, and already subtracted from the counts
+	watcher           chan struct{}        // closed at the next change; nil if there are no waiters
 	usedAt            time.Time
 }
 
-// blockRef says where a block is.
+// blockRef is the location of a block.
 type blockRef struct {
-	first uint64 // its first record
+	first uint64 // sequence number of its first record
 	place *pb.Place
 }
 
 func (a *attempt) spans() outputs.Spans { return a.state.Spans }
 
-// loadAttempt returns an attempt, from the index if need be; nil: nothing is held of
-// it. The caller holds mu.
+// loadAttempt returns an attempt, loading it from the index if necessary, or nil if the
+// store has nothing of it. The caller holds mu.
 func (s *Store) loadAttempt(key string) *attempt {
 	a := s.attempts[key]
 	if a == nil {
@@ -54,8 +54,8 @@
 	return a
 }
 
-// loadOrCreateAttempt is loadAttempt for an attempt of which something is about to be
-// held. The caller holds mu.
+// loadOrCreateAttempt is like loadAttempt, but creates the attempt if it does not exist.
+// The caller holds mu.
 func (s *Store) loadOrCreateAttempt(key string) *attempt {
 	if a := s.loadAttempt(key); a != nil {
 		return a
@@ -74,13 +74,13 @@
 	return a
 }
 
-// markDirty notes that the index lags behind an attempt. The caller holds mu.
+// markDirty schedules an attempt for the next checkpoint. The caller holds mu.
 func (s *Store) markDirty(a *attempt) {
 	a.dirty = true
 	s.dirtyAttempts[a.key] = a
 }
 
-// markChanged is markDirty for a change of what is held, and wakes who waits for one.
+// markChanged marks an attempt dirty after a change of its content and wakes its watchers.
 // The caller holds mu.
 func (s *Store) markChanged(a *attempt, now time.Time) {
 	s.markDirty(a)
@@ -91,11 +91,11 @@
 	}
 }
 
-// unknownAttemptPoll is when a watcher of an attempt of which nothing is held should
-// look again: its beginning is not signalled.
+// unknownAttemptPoll is the delay after which a watcher of an unknown attempt is woken to
+// look again: the creation of an attempt is not signalled.
 const unknownAttemptPoll = time.Second
 
-// Watch returns a channel that is closed when an attempt changes next.
+// Watch returns a channel that is closed at the next change of an attempt.
 func (s *Store) Watch(key []byte) <-chan struct{} {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -111,7 +111,7 @@
 	return a.watcher
 }
 
-// ClearUnderReplicated notes that an attempt has as many replicas as it should.
+// ClearUnderReplicated records that an attempt has its full number of replicas.
 func (s *Store) ClearUnderReplicated(key []byte) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -121,8 +121,8 @@
 	}
 }
 
-// IsUnderReplicated reports whether an attempt has too few replicas, as far as was
-// recorded here.
+// IsUnderReplicated reports whether an attempt is recorded here as having too few
+// replicas.
 func (s *Store) IsUnderReplicated(key []byte) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -131,7 +131,7 @@
 }
 
 // teamOfKey returns the team in an attempt's key: the part between the first and the
-// second zero byte. It is empty if there is none.
+// second zero byte. It returns "" if the key has no such part.
 func teamOfKey(key string) string {
 	_, rest, _ := strings.Cut(key, "\x00")
 	team, _, found := strings.Cut(rest, "\x00")
--- a/internal/outputs/disk/bench_test.go
+++ b/internal/outputs/disk/bench_test.go
@@ -10,8 +10,8 @@
 	pb "reedtrack/internal/outputs/outputsv1"
 )
 
-// BenchmarkSlowWriters measures what tasks that write a line now and then take on disk,
-// for each byte that they wrote: as it came, and after compaction.
+// BenchmarkSlowWriters measures the disk space used per byte written by tasks that write a
+// line at a time, before and after compaction.
 func BenchmarkSlowWriters(b *testing.B) {
 	for b.Loop() {
 		clock := time.Unix(1e6, 0)
@@ -39,7 +39,7 @@
 		if s, err = Open(Options{Dir: s.Dir(), CompactionDelay: time.Second, CheckpointInterval: time.Hour, Now: func() time.Time { return clock }}); err != nil {
 			b.Fatal(err)
 		}
-		s.Put(context.Background(), openEntry(outputs.Key(testAttempt(0, 9)))) // begins another log
+		s.Put(context.Background(), openEntry(outputs.Key(testAttempt(0, 9)))) // starts another log segment
 		s.Checkpoint()
 		clock = clock.Add(time.Hour)
 		for worked := true; worked; {
--- a/internal/outputs/disk/blocks.go
+++ b/internal/outputs/disk/blocks.go
@@ -16,11 +16,11 @@
 	pb "reedtrack/internal/outputs/outputsv1"
 )
 
-// Blocks reads the blocks of an attempt that hold records from one on and before
-// another (0: no bound), in order, until they come to maxBytes. Blocks are read in
-// whole: what they hold beyond the bounds comes with them. Blocks whose last record is
-// older than since (0: none) are left out. It returns from where to go on, and no
-// blocks if nothing is held from there on.
+// Blocks reads the blocks of an attempt that hold records in [from, to) (to 0: no upper
+// bound), in order, until their size reaches maxBytes. Blocks are returned whole, so the
+// first and the last may hold records outside the range. Blocks whose last record is older
+// than since (0: no limit) are skipped. It returns the record to continue from, and no
+// blocks if none are stored from there on.
 func (s *Store) Blocks(key []byte, from, to uint64, since int64, maxBytes int) (blocks []*pb.Block, next uint64, err error) {
 	next = from
 	size := 0
@@ -43,8 +43,8 @@
 }
 
 // readBlocks reads blocks up to the first that can't be read. It asks for a retry if
-// compaction has moved that one, or if it is damaged and nothing was read before it:
-// then the read goes on behind it.
+// compaction has moved that block, or if it is damaged and no block was read before it;
+// the read then continues after the damage.
 func (s *Store) readBlocks(key []byte, refs []blockRef, isFirst bool) (blocks []*pb.Block, retry bool, err error) {
 	for _, ref := range refs {
 		b, err := s.readBlock(key, ref)
@@ -64,7 +64,7 @@
 	return blocks, false, nil
 }
 
-// readBlock reads a block and checks that it is the one meant.
+// readBlock reads a block and verifies its key and first record.
 func (s *Store) readBlock(key []byte, ref blockRef) (*pb.Block, error) {
 	e, err := s.readEntry(ref.place)
 	if err != nil {
@@ -77,12 +77,12 @@
 	return b, nil
 }
 
-// blockQuery says which blocks of an attempt to find.
+// blockQuery selects blocks of an attempt.
 type blockQuery struct {
-	from, to uint64 // records; to 0: no bound
-	since    int64  // of the last record
+	from, to uint64 // record range; to 0: no upper bound
+	since    int64  // lower bound for the time of the last record, in ns
 	spans    outputs.Spans
-	maxBytes int // on disk; the block that exceeds it still counts
+	maxBytes int // on disk; the block that exceeds it is included
 }
 
 func (q *blockQuery) matches(first uint64, p *pb.Place) bool {
@@ -90,16 +90,16 @@
 	if end <= q.from || q.isPast(first, end) || p.Tally.GetLastNs() < q.since {
 		return false
 	}
-	// A block that was found damaged is not in the spans.
+	// The records of a damaged block have been removed from the spans.
 	return q.spans.RunEnd(first) >= end
 }
 
-// isPast reports whether a block and all after it lie beyond the bound.
+// isPast reports whether a block and all blocks after it are beyond the upper bound.
 func (q *blockQuery) isPast(first, end uint64) bool {
 	return end > q.from && q.to > 0 && first >= q.to
 }
 
-// findBlocks returns where the blocks are that Blocks reads, in order.
+// findBlocks returns the locations of the blocks that Blocks reads, in order.
 func (s *Store) findBlocks(key []byte, from, to uint64, since int64, maxBytes int) ([]blockRef, error) {
 	s.mu.Lock()
 	a := s.loadAttempt(string(key))
@@ -109,7 +109,7 @@
 	}
 	id := a.state.Id
 	q := &blockQuery{from: from, to: to, since: since, spans: a.state.Spans, maxBytes: maxBytes}
-	newBlocks := slices.Clone(a.newBlocks) // before the index is read: what that gains meanwhile is here too
+	newBlocks := slices.Clone(a.newBlocks) // copied before the index is read, so that blocks checkpointed in between are not missed
 	s.mu.Unlock()
 	refs := s.indexedBlocks(id, q)
 	position := map[uint64]int{}
@@ -118,7 +118,7 @@
 	}
 	for _, ref := range newBlocks {
 		if i, ok := position[ref.first]; ok {
-			refs[i] = ref // newer: the other was damaged, or is the same
+			refs[i] = ref // newer: the indexed one was damaged, or is the same
 		} else if q.matches(ref.first, ref.place) {
 			refs = append(refs, ref)
 		}
@@ -127,7 +127,8 @@
 	return limitBytes(refs, maxBytes), nil
 }
 
-// limitBytes cuts a list of blocks where they come to maxBytes; at least one stays.
+// limitBytes truncates a list of blocks after the block that reaches maxBytes. At least
+// one block is kept.
 func limitBytes(refs []blockRef, maxBytes int) []blockRef {
 	size := 0
 	for i, ref := range refs {
@@ -138,7 +139,7 @@
 	return refs
 }
 
-// indexedBlocks returns the blocks in the index that match.
+// indexedBlocks returns the blocks in the index that match a query.
 func (s *Store) indexedBlocks(id uint64, q *blockQuery) []blockRef {
 	var refs []blockRef
 	size := 0
@@ -167,8 +168,8 @@
 	return refs
 }
 
-// seekBlock moves a cursor to the block of an attempt that may hold a record: the last
-// that begins before it, or else the first that does not.
+// seekBlock moves a cursor to the block of an attempt that may hold a record: the last one
+// that starts before it, or else the first one that starts at or after it.
 func seekBlock(cursor *bbolt.Cursor, id, record uint64) (k, v []byte) {
 	key, prefix := blockKey(id, record), encodeUint64(id)
 	if k, _ = cursor.Seek(key); k == nil {
@@ -182,11 +183,11 @@
 	return cursor.Seek(key)
 }
 
-// firstOfBlockKey returns the first record in the key of a block.
+// firstOfBlockKey returns the first record encoded in a block's key.
 func firstOfBlockKey(k []byte) uint64 { return binary.BigEndian.Uint64(k[8:16]) }
 
-// markBlockDamaged notes that the records of a block are not held any more, so that repair
-// copies them again from another member.
+// markBlockDamaged marks the records of a damaged block as missing, so that repair copies
+// them from another member.
 func (s *Store) markBlockDamaged(key []byte, ref blockRef) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -216,8 +217,8 @@
 	s.markChanged(a, s.options.Now())
 }
 
-// Invalidate notes everything of an attempt as not held, so that repair copies it
-// again from another member.
+// Invalidate marks all records of an attempt as missing, so that repair copies them from
+// another member.
 func (s *Store) Invalidate(key []byte) error {
 	refs, err := s.findBlocks(key, 0, 0, 0, math.MaxInt)
 	for _, ref := range refs {
--- a/internal/outputs/disk/checkpoint.go
+++ b/internal/outputs/disk/checkpoint.go
@@ -12,13 +12,13 @@
 )
 
 const (
-	// evictInterval is the time between two searches for attempts not in use.
+	// evictInterval is the minimum time between two evictions of unused attempts.
 	evictInterval = 10 * time.Second
-	// evictAfter is when an attempt that nobody asked for leaves the memory.
+	// evictAfter is the idle time after which an attempt is evicted from memory.
 	evictAfter = 30 * time.Second
 )
 
-// checkpointData is what a checkpoint brings into the index.
+// checkpointData is the set of changes that a checkpoint writes to the index.
 type checkpointData struct {
 	attempts   []attemptChange
 	chunks     map[string]*pb.Place
@@ -28,7 +28,7 @@
 	position   *pb.Position
 }
 
-// attemptChange is what a checkpoint writes of an attempt.
+// attemptChange is the part of a checkpoint that concerns one attempt.
 type attemptChange struct {
 	attempt       *attempt
 	state         []byte
@@ -40,7 +40,8 @@
 	drop          bool
 }
 
-// Checkpoint brings the index up to what was put before, in one transaction.
+// Checkpoint writes all changes since the last checkpoint to the index, in one
+// transaction.
 func (s *Store) Checkpoint() error {
 	s.indexMu.Lock()
 	defer s.indexMu.Unlock()
@@ -48,7 +49,7 @@
 	if data == nil {
 		return nil
 	}
-	var freed []*pb.Place // of what was dropped
+	var freed []*pb.Place // places of the blocks of dropped attempts
 	err := s.fs.Transact(func() error {
 		return s.db.Update(func(tx *bbolt.Tx) (err error) {
 			freed, err = data.writeTo(tx)
@@ -69,7 +70,8 @@
 	return nil
 }
 
-// takeChanges collects what has changed since the last checkpoint; nil: nothing.
+// takeChanges collects the changes since the last checkpoint. It returns nil if there are
+// none.
 func (s *Store) takeChanges() *checkpointData {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -91,7 +93,7 @@
 		}
 	}
 	if len(data.attempts)+len(data.chunks)+len(data.lostChunks)+len(data.segments) == 0 {
-		return nil // a change of team bytes alone waits for the next one
+		return nil // a change of team bytes alone waits for the next checkpoint
 	}
 	for team := range s.dirtyTeams {
 		data.teamBytes[team] = s.teamBytes[team]
@@ -101,7 +103,7 @@
 	return data
 }
 
-// takeAttempt collects what has changed of an attempt. The caller holds mu.
+// takeAttempt collects the changes of an attempt. The caller holds mu.
 func (s *Store) takeAttempt(a *attempt) attemptChange {
 	a.dirty = false
 	if a.dropReason != "" && !a.removedFromCounts {
@@ -122,7 +124,8 @@
 	}
 }
 
-// restoreChanges marks as changed what could not be written. The caller holds mu.
+// restoreChanges marks changes as pending again after a failed transaction. The caller
+// holds mu.
 func (s *Store) restoreChanges(data *checkpointData) {
 	for _, c := range data.attempts {
 		s.markDirty(c.attempt)
@@ -137,8 +140,8 @@
 	}
 }
 
-// finishCheckpoint lets go of what the index has now. What changed during the
-// transaction stays. The caller holds mu.
+// finishCheckpoint releases the in-memory copies of what is now in the index. Changes made
+// during the transaction stay pending. The caller holds mu.
 func (s *Store) finishCheckpoint(data *checkpointData) {
 	for _, c := range data.attempts {
 		s.finishAttempt(c)
@@ -159,7 +162,7 @@
 	a := c.attempt
 	if !a.dirty {
 		delete(s.dirtyAttempts, a.key)
-		if a.state.Sealed && a.watcher == nil { // seldom asked for again soon
+		if a.state.Sealed && a.watcher == nil { // sealed attempts are rarely read again soon
 			delete(s.attempts, a.key)
 		}
 	}
@@ -178,11 +181,11 @@
 	}
 }
 
-// withoutWritten returns what a list holds beyond what a checkpoint has just written.
+// withoutWritten returns the blocks of a list that the last checkpoint did not write.
 //
-// Blocks are appended at the end, but any may have been removed while the transaction ran:
-// a reader found it damaged. So the list can't be cut by the number of blocks written:
-// a block that the index does not have would go with them.
+// Blocks are appended at the end, but any of them may be removed while the transaction
+// runs, when a reader finds it damaged. Cutting the list by the number of blocks written
+// would therefore also discard blocks that are not in the index yet.
 func withoutWritten(blocks, written []blockRef) []blockRef {
 	n := 0
 	for _, ref := range written {
@@ -193,7 +196,7 @@
 	return blocks[n:]
 }
 
-// evictAttempts lets go of attempts that nobody has asked for lately, once in a while.
+// evictAttempts evicts attempts that were not used lately, at most once per evictInterval.
 // The caller holds mu.
 func (s *Store) evictAttempts(now time.Time) {
 	if now.Sub(s.lastEvictionAt) < evictInterval {
@@ -208,8 +211,7 @@
 	}
 }
 
-// writeTo writes a checkpoint and returns the places of the blocks of dropped
-// attempts.
+// writeTo writes a checkpoint and returns the places of the blocks of dropped attempts.
 func (d *checkpointData) writeTo(tx *bbolt.Tx) (freed []*pb.Place, err error) {
 	for _, c := range d.attempts {
 		if c.drop {
@@ -246,7 +248,7 @@
 	return freed, putMessage(tx.Bucket(bucketMeta), keyPosition, d.position)
 }
 
-// writeTo writes what has changed of an attempt.
+// writeTo writes the changes of an attempt.
 func (c *attemptChange) writeTo(tx *bbolt.Tx) error {
 	key := []byte(c.attempt.key)
 	if err := tx.Bucket(bucketAttempts).Put(key, c.state); err != nil {
@@ -272,7 +274,7 @@
 	return c.writeSeal(tx)
 }
 
-// writeSeal writes an attempt's seal, and which chunks it names.
+// writeSeal writes an attempt's seal and its references to chunks.
 func (c *attemptChange) writeSeal(tx *bbolt.Tx) error {
 	key := []byte(c.attempt.key)
 	if c.failed {
@@ -288,7 +290,7 @@
 	return putMessage(tx.Bucket(bucketSeals), key, c.seal)
 }
 
-// chunkUses returns the keys in bucketUses for the chunks that a seal names.
+// chunkUses returns the keys in bucketUses for the chunks that a seal references.
 func (c *attemptChange) chunkUses(seal *pb.Seal) [][]byte {
 	var uses [][]byte
 	team := teamOfKey(c.attempt.key)
@@ -300,9 +302,9 @@
 	return uses
 }
 
-// deleteFrom takes an attempt out of the index, and returns the places of its blocks.
-// Its chunks stay until nothing has named them for a while: another attempt that has
-// just been told that they are held may be about to.
+// deleteFrom deletes an attempt from the index and returns the places of its blocks. Its
+// chunks are kept until they have been unreferenced for a while: another attempt that was
+// just told that they are stored may be about to reference them.
 func (c *attemptChange) deleteFrom(tx *bbolt.Tx) (freed []*pb.Place, err error) {
 	key := []byte(c.attempt.key)
 	for _, ref := range c.newBlocks {
@@ -337,7 +339,7 @@
 		if proto.Unmarshal(v, p) == nil {
 			places = append(places, p)
 		}
-		keys = append(keys, bytes.Clone(k)) // deleted after the walk: a deletion moves the cursor
+		keys = append(keys, bytes.Clone(k)) // deleted after the iteration: a deletion moves the cursor
 	}
 	for _, k := range keys {
 		if err := blocks.Delete(k); err != nil {
--- a/internal/outputs/disk/checkpoint_test.go
+++ b/internal/outputs/disk/checkpoint_test.go
@@ -9,8 +9,8 @@
 	"reedtrack/internal/outputs"
 )
 
-// hookFS calls a function before the next transaction of the index, as another
-// goroutine would act during a checkpoint.
+// hookFS calls a function before the next transaction of the index, to simulate a
+// goroutine that runs concurrently with a checkpoint.
 type hookFS struct {
 	osFS
 	beforeTransaction func()
@@ -24,10 +24,10 @@
 	return update()
 }
 
-// A block that a reader finds damaged while a checkpoint writes it is put again, and
-// the blocks that came meanwhile get into the index. The checkpoint once cut its list
-// by the number of blocks that it had taken: a process ended by that, and a block that
-// came meanwhile would have been left out of the index.
+// A reader finds a block damaged while a checkpoint is writing it, and other blocks arrive
+// meanwhile. The damaged block can be written again, and the new blocks reach the index.
+// Cutting the list of new blocks by the number that the checkpoint had taken crashed a
+// process once, and would have left a block that arrived meanwhile out of the index.
 func TestDamageDuringCheckpoint(t *testing.T) {
 	for _, late := range []uint64{0, 2} {
 		t.Run(fmt.Sprintf("%d blocks meanwhile", late), func(t *testing.T) {
@@ -55,7 +55,7 @@
 			}
 			s.Checkpoint()
 			if n := len(s.attempts[string(key)].newBlocks); n != int(late) {
-				t.Errorf("%d blocks are not in the index, of %d that came meanwhile", n, late)
+				t.Errorf("%d blocks are not in the index, want the %d written during the checkpoint", n, late)
 			}
 			s.Checkpoint()
 			if n := len(s.attempts[string(key)].newBlocks); n != 0 {
--- a/internal/outputs/disk/chunks.go
+++ b/internal/outputs/disk/chunks.go
@@ -12,12 +12,12 @@
 	pb "reedtrack/internal/outputs/outputsv1"
 )
 
-// maxRelocationRetries is how often a read is tried again because compaction moved
-// the entry meanwhile.
+// maxRelocationRetries is how often a read is retried because compaction has moved the
+// entry meanwhile.
 const maxRelocationRetries = 3
 
-// MissingChunks returns which of a team's chunks are not held. Those that are will be
-// kept for a while, whether an attempt names them or not: the caller is about to.
+// MissingChunks returns which of a team's chunks are not stored. Chunks that are stored
+// are kept for a while even if no attempt references them, since the caller is about to.
 func (s *Store) MissingChunks(team string, hashes [][]byte) [][]byte {
 	var missing [][]byte
 	now := s.options.Now().Unix()
@@ -35,7 +35,8 @@
 				missing = append(missing, hash)
 				continue
 			}
-			// Not each time: a change goes into the index.
+			// Refreshed only after half of the retention time, because each refresh is
+			// written to the index.
 			if now-place.PutS > int64(s.options.OrphanRetention.Seconds())/2 {
 				place.PutS = now
 				s.newChunks[string(key)] = place
@@ -46,7 +47,7 @@
 	return missing
 }
 
-// Chunk reads a chunk. The error is an ErrNotFound if it is not held, or no longer.
+// Chunk reads a chunk. It returns ErrNotFound if the chunk is not stored, or no longer.
 func (s *Store) Chunk(team string, hash []byte) (*pb.Chunk, error) {
 	key := string(chunkKey(team, hash))
 	for range maxRelocationRetries {
@@ -71,7 +72,7 @@
 	return nil, ErrNotFound
 }
 
-// chunkPlace returns where a chunk is; nil: it is not held.
+// chunkPlace returns the place of a chunk, or nil if it is not stored.
 func (s *Store) chunkPlace(key string) *pb.Place {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -84,7 +85,8 @@
 	return s.indexedChunk(key)
 }
 
-// indexedChunk returns where a chunk is, as the index has it; nil: it has none.
+// indexedChunk returns the place of a chunk according to the index, or nil if it is not in
+// the index.
 func (s *Store) indexedChunk(key string) *pb.Place {
 	place := new(pb.Place)
 	found := false
@@ -98,8 +100,8 @@
 	return place
 }
 
-// markChunkDamaged notes that a chunk is not held any more, so that repair copies it again
-// from another member.
+// markChunkDamaged marks a damaged chunk as missing, so that repair copies it from another
+// member.
 func (s *Store) markChunkDamaged(key string, p *pb.Place) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -119,7 +121,7 @@
 			s.markDirty(a)
 		}
 	}
-	// Attempts whose seal the index does not have yet may name it too.
+	// Attempts whose seal is not in the index yet may reference it too.
 	for _, a := range s.attempts {
 		if a.seal != nil && a.state.Whole && len(a.seal.Artefacts) > 0 {
 			a.state.Whole = false
@@ -128,8 +130,8 @@
 	}
 }
 
-// chunkUsers returns the keys of the attempts that name a chunk, as far as the index
-// knows.
+// chunkUsers returns the keys of the attempts that reference a chunk according to the
+// index.
 func (s *Store) chunkUsers(key string) []string {
 	var users []string
 	s.db.View(func(tx *bbolt.Tx) error {
@@ -144,16 +146,16 @@
 
 func samePlace(a, b *pb.Place) bool { return a.Segment == b.Segment && a.Offset == b.Offset }
 
-// orphanChunk is a chunk that no attempt names.
+// orphanChunk is a chunk that no attempt references.
 type orphanChunk struct {
 	key   []byte
 	place *pb.Place
 }
 
-// RemoveOrphanChunks forgets the chunks that no attempt has named for
-// Options.OrphanRetention, and returns how many.
+// RemoveOrphanChunks removes the chunks that no attempt has referenced for
+// Options.OrphanRetention, and returns their number.
 func (s *Store) RemoveOrphanChunks() (int, error) {
-	// A seal that the index does not have yet may name one.
+	// A seal that is not in the index yet may reference one.
 	if err := s.Checkpoint(); err != nil {
 		return 0, err
 	}
@@ -179,8 +181,8 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, o := range orphans {
-		// One that was asked for meanwhile stands in memory, and comes back with the
-		// next checkpoint: no segment is removed before that.
+		// A chunk that was requested meanwhile is in memory and is added to the index
+		// again by the next checkpoint; no segment is removed before that.
 		if s.newChunks[string(o.key)] == nil {
 			s.releasePlace(o.place)
 			s.addTeamBytes(teamOfChunk(o.key), -int64(o.place.Length))
@@ -189,8 +191,8 @@
 	return len(orphans), nil
 }
 
-// findOrphans returns the chunks that were put before a time, in seconds, and that no
-// attempt names.
+// findOrphans returns the chunks that were written before a time, in Unix seconds, and
+// that no attempt references.
 func findOrphans(chunks, uses *bbolt.Bucket, before int64) []orphanChunk {
 	var orphans []orphanChunk
 	users := uses.Cursor()
--- a/internal/outputs/disk/commit.go
+++ b/internal/outputs/disk/commit.go
@@ -10,30 +10,30 @@
 	pb "reedtrack/internal/outputs/outputsv1"
 )
 
-// commit is a batch of requests on its way into the active segment.
+// commit is a batch of requests to be appended to the active segment.
 type commit struct {
-	buf     []byte // the entries as they will stand in the segment
+	buf     []byte // the encoded entries
 	entries []placedEntry
-	lsn     uint64 // the last number given; those of refused requests stay unused
+	lsn     uint64 // the last LSN assigned; those of refused requests stay unused
 	now     time.Time
-	pending map[string]*pendingAttempt // by key: what the batch holds so far
+	pending map[string]*pendingAttempt // by key: state of the batch so far
 }
 
-// placedEntry is an entry and where it will be. Until the segment is known, the offset
-// is within the batch.
+// placedEntry is an entry and its place. Until the segment is known, the offset is
+// relative to the batch.
 type placedEntry struct {
 	entry *pb.Entry
 	place *pb.Place
 }
 
-// pendingAttempt is what a batch holds so far of an attempt.
+// pendingAttempt is what a batch holds so far for one attempt.
 type pendingAttempt struct {
-	end  uint64 // of its records
+	end  uint64 // end of its records
 	seal *pb.Seal
 }
 
-// commitBatch writes what of some requests is new, syncs it and applies it. It returns
-// an error for each request.
+// commitBatch writes the entries of some requests that are not stored yet, syncs them and
+// applies them. It returns an error for each request.
 func (s *Store) commitBatch(requests []*putRequest) []error {
 	errs := make([]error, len(requests))
 	s.mu.Lock()
@@ -58,7 +58,7 @@
 	return errs
 }
 
-// addRequest adds all of a request to a batch, or nothing. The caller holds mu.
+// addRequest adds all entries of a request to a batch, or none. The caller holds mu.
 func (s *Store) addRequest(c *commit, r *putRequest) error {
 	size, count := len(c.buf), len(c.entries)
 	for _, item := range r.items {
@@ -88,8 +88,8 @@
 	return nil
 }
 
-// newPlace returns the place of an entry, with what the index keeps of blocks and
-// chunks.
+// newPlace returns the place of an entry, including the metadata that the index keeps for
+// blocks and chunks.
 func newPlace(e *pb.Entry, segment uint32, offset int64, length int, now time.Time) *pb.Place {
 	p := &pb.Place{Segment: segment, Offset: uint32(offset), Length: uint32(length)}
 	if b := e.GetBlock(); b != nil {
@@ -100,9 +100,9 @@
 	return p
 }
 
-// appendBatch writes a batch, whose first entry has a number, to the active segment
-// and syncs it. After a failure the segment is left: what a failed sync has left in it
-// is not known, and the base of the next one says that it does not count.
+// appendBatch writes a batch to the active segment and syncs it; firstLSN is the number of
+// its first entry. After a failure the segment is abandoned, because its content after a
+// failed sync is unknown. The next segment's base marks the failed entries as invalid.
 func (s *Store) appendBatch(buf []byte, firstLSN uint64) error {
 	if s.active == nil {
 		if err := s.startSegment(firstLSN); err != nil {
@@ -125,7 +125,7 @@
 	return nil
 }
 
-// startSegment makes a new log segment the active one.
+// startSegment creates a log segment and makes it the active one.
 func (s *Store) startSegment(base uint64) error {
 	g, err := s.createSegment(base, logExt)
 	if err != nil {
@@ -139,7 +139,7 @@
 	return nil
 }
 
-// applyCommit applies a batch that has been synced.
+// applyCommit applies a batch after it has been synced.
 func (s *Store) applyCommit(c *commit) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -159,8 +159,9 @@
 	}
 }
 
-// newEntries returns what of an entry is not held yet, or why it can't be, after what
-// stands before it in its batch. The caller holds mu.
+// newEntries returns the parts of an entry that are not stored yet, taking into account
+// the earlier entries of its batch, or an error if the entry is refused. The caller holds
+// mu.
 func (s *Store) newEntries(item putItem, batch map[string]*pendingAttempt) ([]*pb.Entry, error) {
 	e := item.entry
 	key := string(e.Key)
@@ -175,7 +176,7 @@
 		if e.GetDrop() != nil {
 			return nil, nil
 		}
-		return nil, ErrBusy // until the index has forgotten it
+		return nil, ErrBusy // until a checkpoint has deleted it from the index
 	}
 	earlier := batch[key]
 	if earlier == nil {
@@ -205,12 +206,13 @@
 	return withoutLSN(e), nil
 }
 
-// withoutLSN returns a copy of an entry to which this store can give its own number.
+// withoutLSN returns a copy of an entry without its LSN, so that this store can assign its
+// own.
 func withoutLSN(e *pb.Entry) []*pb.Entry {
 	return []*pb.Entry{{Key: e.Key, What: e.What}}
 }
 
-// newBlockEntries returns the parts of a block that are not held.
+// newBlockEntries returns the parts of a block that are not stored yet.
 func newBlockEntries(key []byte, b *pb.Block, tally *pb.Tally, state *pb.AttemptState, earlier *pendingAttempt) ([]*pb.Entry, error) {
 	end := b.First + uint64(b.Count)
 	if state.Sealed && end > state.Records || earlier.seal != nil && end > earlier.seal.Records {
@@ -232,7 +234,8 @@
 	return entries, nil
 }
 
-// checkSeal reports whether a seal is new, or why the attempt can't have it.
+// checkSeal reports whether a seal is new, or returns an error if it conflicts with what
+// is stored.
 func checkSeal(seal *pb.Seal, state *pb.AttemptState, earlier *pendingAttempt) (isNew bool, err error) {
 	if state.Sealed {
 		return false, compareSeals(seal, state.Records, state.Digest)
@@ -247,7 +250,7 @@
 	return true, nil
 }
 
-// compareSeals returns an ErrSealed if a seal is another than the one that is held.
+// compareSeals returns ErrSealed if a seal differs from the stored one.
 func compareSeals(seal *pb.Seal, records uint64, digest []byte) error {
 	if seal.Records == records && bytes.Equal(seal.Digest, digest) {
 		return nil
--- a/internal/outputs/disk/compact.go
+++ b/internal/outputs/disk/compact.go
@@ -12,37 +12,36 @@
 	pb "reedtrack/internal/outputs/outputsv1"
 )
 
-// Compaction writes the live entries of some segments, its inputs, into new ones, an
-// attempt's blocks side by side and joined, and removes the inputs. It is the only
-// thing that moves entries, so what a log holds is written at most twice unless much
-// of it is dropped.
+// Compaction copies the live entries of some segments (its inputs) into new segments (its
+// outputs) and removes the inputs. In the outputs the blocks of an attempt are adjacent
+// and joined. Nothing else moves entries, so the content of a log is written at most twice
+// unless much of it is dropped.
 const (
-	maxJoinedBytes       = 256 << 10 // of data up to which blocks are joined
-	maxCompactedSegments = 8         // at once; an attempt's blocks lie in neighbours
-	minDeadRatio         = 0.4       // of a compacted segment that is compacted again
-	// maxCompactedSizeFactor times the size of a segment may be live in the inputs
-	// together.
+	maxJoinedBytes       = 256 << 10 // maximum data size of a joined block
+	maxCompactedSegments = 8         // inputs per round; an attempt's blocks are in neighbouring segments
+	minDeadRatio         = 0.4       // above which a compacted segment is compacted again
+	// maxCompactedSizeFactor limits the live bytes of all inputs together, as a multiple
+	// of the segment size.
 	maxCompactedSizeFactor = 4
 )
 
-// errIndexChanged says that the index changed during a compaction, which is tried
-// again.
+// errIndexChanged means that the index changed during a compaction, which is then retried.
 var errIndexChanged = errors.New("changed meanwhile")
 
-// compaction is one round.
+// compaction is one round of compaction.
 type compaction struct {
 	store    *Store
 	limit    Limiter
 	inputs   []*segmentInfo
 	inputIDs map[uint32]bool
-	base     uint64 // of the outputs: the lowest of the inputs
+	base     uint64 // base of the outputs: the lowest base of the inputs
 
 	outputs     []*segmentInfo
-	buf         []byte // not written to the last of outputs yet
+	buf         []byte // not yet written to the last output
 	relocations []relocation
 }
 
-// Compact does one round and reports whether there was anything to do.
+// Compact runs one round of compaction and reports whether there was anything to do.
 func (s *Store) Compact(ctx context.Context, limit Limiter) (bool, error) {
 	inputs := s.compactionInputs()
 	if len(inputs) == 0 {
@@ -68,8 +67,8 @@
 	return true, nil
 }
 
-// compactionInputs chooses the segments that are worth compacting: logs that ended a
-// while ago, and compacted segments with many dead bytes.
+// compactionInputs selects the segments worth compacting: logs that ended at least
+// Options.CompactionDelay ago, and compacted segments with a high ratio of dead bytes.
 func (s *Store) compactionInputs() []*segmentInfo {
 	s.indexMu.Lock()
 	defer s.indexMu.Unlock()
@@ -92,9 +91,9 @@
 				continue
 			}
 		} else {
-			// Nothing is appended to a log that has ended, but the index's position
-			// stands at its end until the next one is begun. Logs go in order: the
-			// base of the next tells what in one does not count.
+			// Nothing is appended to a log that has ended, but the index's position stays
+			// at its end until the next log is started. Logs are compacted in order,
+			// because the base of the next log tells which entries of a log are invalid.
 			hasEnded := !g.endedAt.IsZero() && now.Sub(g.endedAt) >= s.options.CompactionDelay
 			logsInOrder = logsInOrder && hasEnded && id < indexed
 			if !logsInOrder {
@@ -110,7 +109,7 @@
 	return inputs
 }
 
-// run writes the outputs and installs them.
+// run writes, syncs and installs the outputs.
 func (c *compaction) run(ctx context.Context) error {
 	entries, err := c.collectLive(ctx)
 	if err != nil {
@@ -149,8 +148,8 @@
 	}
 }
 
-// entryKind orders the entries of an attempt in an output. Chunks are no attempt's and
-// come last.
+// entryKind is the type of an entry. Its values are in the order in which an attempt's
+// entries are written to an output. Chunks belong to no attempt and come last.
 type entryKind int
 
 const (
@@ -162,18 +161,18 @@
 	kindChunk
 )
 
-// liveEntry is an entry of an input that may have to be kept.
+// liveEntry is an entry of an input that may be live.
 type liveEntry struct {
 	kind  entryKind
-	key   string // of the attempt or the chunk
-	first uint64 // record of a block
+	key   string // key of the attempt or the chunk
+	first uint64 // first record of a block
 	place *pb.Place
 	lsn   uint64
 }
 
-// compareLiveEntries orders entries by attempt, of each its blocks in order, and
-// chunks at the end. Of an attempt that was dropped and came again the newest entry
-// comes first, which counts.
+// compareLiveEntries orders entries by attempt, then by kind and first record, with chunks
+// at the end. Of several entries of an attempt that was dropped and created again, the
+// newest comes first and is the one that counts.
 func compareLiveEntries(a, b liveEntry) int {
 	if (a.kind == kindChunk) != (b.kind == kindChunk) {
 		return cmp.Compare(a.kind, b.kind)
@@ -186,8 +185,8 @@
 	)
 }
 
-// collectLive reads the inputs and returns the entries that may be live, in the order
-// in which they are written.
+// collectLive reads the inputs and returns the entries that may be live, in the order in
+// which they are written.
 func (c *compaction) collectLive(ctx context.Context) ([]liveEntry, error) {
 	var entries []liveEntry
 	otherBase := c.lowestOtherBase()
@@ -203,8 +202,7 @@
 			if below > 0 && e.Lsn >= below {
 				return nil
 			}
-			// A drop is kept while an older entry of its attempt may still stand in
-			// another segment.
+			// A drop is kept while another segment may hold an older entry of its attempt.
 			if e.GetDrop() != nil && e.Lsn <= otherBase {
 				return nil
 			}
@@ -249,9 +247,9 @@
 	return entry
 }
 
-// scrubDamagedInput scrubs an input of which something can't be read: what the index points
-// to in there must be known to be lost before the segment is removed. If that is
-// anything, the compaction is tried again.
+// scrubDamagedInput scrubs an input that has unreadable parts: entries that the index
+// references there must be marked as missing before the segment is removed. If there are
+// any, the compaction is retried.
 func (c *compaction) scrubDamagedInput(ctx context.Context, segment uint32) error {
 	found, err := c.store.scrubSegment(ctx, c.limit, segment)
 	if err == nil && found.Damaged == 0 {
@@ -273,7 +271,7 @@
 	return lowest
 }
 
-// nextLogBase returns the base of the log after a segment; 0: there is none.
+// nextLogBase returns the base of the first log after a segment, or 0 if there is none.
 func (s *Store) nextLogBase(id uint32) uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/outputs/disk/compact_test.go
+++ b/internal/outputs/disk/compact_test.go
@@ -9,8 +9,8 @@
 	"reedtrack/internal/outputs"
 )
 
-// A reader goes on over compaction and retention: it sees all that is there, or that
-// the attempt is gone.
+// A reader that reads while compaction and retention run sees all records, or an error
+// that the attempt is gone.
 func TestReadDuringCompaction(t *testing.T) {
 	const records = 120
 	clock := time.Unix(1e6, 0)
@@ -69,8 +69,8 @@
 	}
 }
 
-// An attempt that was dropped and came again is there after a compaction of both lives
-// and a rebuild of the index: of what stands twice the newest counts.
+// An attempt that was dropped and written again survives a compaction of its old and new
+// entries followed by a rebuild of the index: of duplicate entries the newest counts.
 func TestDroppedAttemptReturns(t *testing.T) {
 	clock := time.Unix(1e6, 0)
 	dir := t.TempDir()
@@ -88,7 +88,7 @@
 			t.Fatal(worked, err)
 		}
 	}
-	endAndCompactLog(0) // its base is low: older entries may stand in it, and drops are kept
+	endAndCompactLog(0) // its base is low, so it may hold older entries and drops are kept
 	for range 2 {
 		if err := s.Put(ctx, openEntry(key), blockEntry(key, 0, 3), sealEntry(key, 3)); err != nil {
 			t.Fatal(err)
--- a/internal/outputs/disk/compactinstall.go
+++ b/internal/outputs/disk/compactinstall.go
@@ -9,7 +9,7 @@
 	pb "reedtrack/internal/outputs/outputsv1"
 )
 
-// install points the index to the outputs, in one transaction, and removes the inputs.
+// install updates the index to the outputs in one transaction and removes the inputs.
 func (c *compaction) install() error {
 	s := c.store
 	s.indexMu.Lock()
@@ -27,7 +27,7 @@
 	return nil
 }
 
-// updateIndex is the transaction of install.
+// updateIndex is the index transaction of install.
 func (c *compaction) updateIndex(tx *bbolt.Tx) error {
 	for _, r := range c.relocations {
 		relocate := r.relocateBlocks
@@ -53,8 +53,8 @@
 	return nil
 }
 
-// relocateChunk points the index to the new place of a chunk. One that was forgotten
-// meanwhile stays so.
+// relocateChunk updates the place of a chunk in the index. A chunk that was removed
+// meanwhile is skipped.
 func (r relocation) relocateChunk(tx *bbolt.Tx) error {
 	chunks, key := tx.Bucket(bucketChunks), []byte(r.old[0].key)
 	indexed := new(pb.Place)
@@ -68,8 +68,8 @@
 	return putMessage(chunks, key, r.to)
 }
 
-// relocateBlocks points the index to the joined block in place of the old ones, unless
-// the attempt was dropped meanwhile.
+// relocateBlocks replaces blocks in the index by the block that they were joined into,
+// unless the attempt was dropped meanwhile.
 func (r relocation) relocateBlocks(tx *bbolt.Tx) error {
 	state := new(pb.AttemptState)
 	if !getMessage(tx.Bucket(bucketAttempts), []byte(r.old[0].key), state) || state.Id != r.attemptID {
@@ -88,8 +88,8 @@
 	return putMessage(blocks, blockKey(r.attemptID, r.old[0].first), r.to)
 }
 
-// updateState takes the outputs into the state in memory in place of the inputs, and
-// returns their sizes.
+// updateState replaces the inputs by the outputs in the in-memory state and returns their
+// sizes.
 func (c *compaction) updateState(now time.Time) (before, after uint64) {
 	s := c.store
 	s.mu.Lock()
@@ -105,7 +105,7 @@
 		s.segmentBytes -= min(s.segmentBytes, g.size)
 		before += g.size
 	}
-	// A chunk is in memory with its old place if somebody asked for it meanwhile.
+	// A chunk that was requested meanwhile is in memory with its old place.
 	moved := map[string]*pb.Place{}
 	for _, r := range c.relocations {
 		if r.isChunk {
--- a/internal/outputs/disk/compactwrite.go
+++ b/internal/outputs/disk/compactwrite.go
@@ -10,18 +10,18 @@
 	pb "reedtrack/internal/outputs/outputsv1"
 )
 
-// compactBufferBytes is how much is gathered before it is written to an output.
+// compactBufferBytes is how much is buffered before it is written to an output.
 const compactBufferBytes = 1 << 20
 
-// relocation says which place in the index replaces which.
+// relocation maps old places in the index to the new place.
 type relocation struct {
-	old       []liveEntry // blocks that were joined, or one chunk
+	old       []liveEntry // the joined blocks, or one chunk
 	to        *pb.Place
 	isChunk   bool
-	attemptID uint64 // of blocks
+	attemptID uint64 // for blocks
 }
 
-// compactChunk writes a chunk, if it is live.
+// compactChunk copies a chunk to an output if it is live.
 func (c *compaction) compactChunk(ctx context.Context, entry liveEntry) error {
 	indexed := c.store.indexedChunk(entry.key)
 	if indexed == nil || !samePlace(indexed, entry.place) {
@@ -44,17 +44,17 @@
 	return nil
 }
 
-// compactAttempt writes what is live of an attempt.
+// compactAttempt copies the live entries of an attempt to an output.
 func (c *compaction) compactAttempt(ctx context.Context, entries []liveEntry) error {
 	id, live := c.liveBlocks(entries)
 	join := &blockJoin{compaction: c, attemptID: id}
 	var seen [kindChunk]bool
 	for _, entry := range entries {
 		if live == nil && entry.kind != kindDrop {
-			continue // the attempt is not held any more
+			continue // the attempt is no longer stored
 		}
 		switch entry.kind {
-		case kindOpen, kindSeal: // one of each is enough
+		case kindOpen, kindSeal: // only the first of each is kept
 			if seen[entry.kind] {
 				continue
 			}
@@ -77,9 +77,9 @@
 	return join.write(ctx)
 }
 
-// liveBlocks returns the number of the attempt that some entries are of, and the
-// places of those of its blocks that the index points to, by first record; nil: the
-// index does not have the attempt.
+// liveBlocks returns the ID of the attempt that the entries belong to, and the places of
+// its blocks that are live according to the index, by first record. live is nil if the
+// attempt is not in the index.
 func (c *compaction) liveBlocks(entries []liveEntry) (id uint64, live map[uint64]*pb.Place) {
 	c.store.db.View(func(tx *bbolt.Tx) error {
 		state := new(pb.AttemptState)
@@ -102,16 +102,16 @@
 	return id, live
 }
 
-// blockJoin gathers blocks of an attempt that follow each other, to be written as one.
+// blockJoin collects consecutive blocks of an attempt, to be written as one.
 type blockJoin struct {
 	compaction *compaction
 	attemptID  uint64
 	blocks     []liveEntry
-	bytes      uint64 // of data
+	bytes      uint64 // uncompressed data
 }
 
-// add gathers a block. Those before it are written if they would grow too large with
-// it, or if it does not follow them.
+// add adds a block. The blocks collected so far are written first if the block would make
+// them too large or does not directly follow them.
 func (j *blockJoin) add(ctx context.Context, block liveEntry) error {
 	bytes := block.place.Tally.GetStdoutBytes() + block.place.Tally.GetStderrBytes()
 	if n := len(j.blocks); n > 0 {
@@ -128,7 +128,7 @@
 	return nil
 }
 
-// write writes the blocks gathered.
+// write writes the collected blocks.
 func (j *blockJoin) write(ctx context.Context) error {
 	if len(j.blocks) == 0 {
 		return nil
@@ -138,7 +138,7 @@
 	return j.compaction.writeJoined(ctx, blocks, j.attemptID)
 }
 
-// writeJoined writes blocks that follow each other as one.
+// writeJoined writes consecutive blocks as one block.
 func (c *compaction) writeJoined(ctx context.Context, blocks []liveEntry, attemptID uint64) error {
 	var records []*pb.Record
 	var lsn uint64
@@ -173,8 +173,8 @@
 	return records, err
 }
 
-// copyEntry writes an entry as it is. One that is damaged is passed over: the index
-// has what it says.
+// copyEntry copies an entry unchanged. A damaged entry is skipped: its content is in the
+// index.
 func (c *compaction) copyEntry(ctx context.Context, entry liveEntry) error {
 	e, err := c.store.readEntry(entry.place)
 	if errors.Is(err, ErrDamaged) {
@@ -187,7 +187,7 @@
 	return err
 }
 
-// add adds an entry to the last output, or to a new one.
+// add appends an entry to the last output, or to a new one.
 func (c *compaction) add(ctx context.Context, e *pb.Entry) (*pb.Place, error) {
 	if err := c.ensureOutput(ctx); err != nil {
 		return nil, err
@@ -209,7 +209,7 @@
 	return place, nil
 }
 
-// ensureOutput begins a new output if there is none, or the last one is full.
+// ensureOutput starts a new output if there is none, or if the last one is full.
 func (c *compaction) ensureOutput(ctx context.Context) error {
 	if n := len(c.outputs); n > 0 && int64(c.outputs[n-1].size) <= c.store.options.SegmentBytes {
 		return nil
@@ -225,7 +225,7 @@
 	return nil
 }
 
-// flushBuffer writes what was gathered to the last output.
+// flushBuffer writes the buffer to the last output.
 func (c *compaction) flushBuffer(ctx context.Context) error {
 	size := int64(len(c.buf))
 	if size == 0 {
--- a/internal/outputs/disk/crash_test.go
+++ b/internal/outputs/disk/crash_test.go
@@ -7,14 +7,14 @@
 	"time"
 )
 
-// crashRun plays lives of a store that each end in a crash, one after the other on one
-// directory.
+// crashRun runs a store on one directory for several cycles, each of which ends in a
+// crash.
 type crashRun struct {
 	t               *testing.T
 	seed            uint64
-	firstCrashStep  int // the step of the first life in which it crashes
+	firstCrashStep  int // file system step at which the first cycle crashes
 	cycles          int
-	actionsPerCycle int // random actions of a life
+	actionsPerCycle int // number of random actions
 
 	dir     string
 	clock   time.Time
@@ -23,7 +23,7 @@
 	crashes int
 }
 
-// run returns whether the last life reached its crash.
+// run runs all cycles and reports whether the last one reached its crash step.
 func (r *crashRun) run() bool {
 	r.dir = r.t.TempDir()
 	r.clock = time.Unix(1e6, 0)
@@ -81,20 +81,20 @@
 	}
 	crashed = fs.crashed
 	fs.mu.Lock()
-	fs.crashed = true // the process ends here, also if it reached no crash
+	fs.crashed = true // the process ends here even if no crash step was reached
 	fs.mu.Unlock()
 	s.Kill()
 	fs.loseUnsynced()
-	if dropped != "" { // a drop without an answer may have happened or not
+	if dropped != "" { // an unacknowledged drop may or may not have taken effect
 		delete(r.model.attempts, dropped)
 	}
 	return crashed
 }
 
-// A store that crashes at any step of append, seal, checkpoint, drop and compaction
-// has everything that it had acknowledged when it comes back, and goes on. Every step
-// of some short lives is tried, and then random steps of longer lives with one crash
-// after the other.
+// A store that crashes at any step of append, seal, checkpoint, drop and compaction has
+// everything that it acknowledged when it is opened again, and continues to work. Every
+// step of some short cycles is tried, then random steps of longer runs with several
+// crashes.
 func TestStoreSurvivesCrashAtEveryStep(t *testing.T) {
 	crashes := 0
 	runOne := func(seed uint64, firstCrashStep, cycles, actionsPerCycle int) bool {
--- a/internal/outputs/disk/drop.go
+++ b/internal/outputs/disk/drop.go
@@ -6,7 +6,7 @@
 	pb "reedtrack/internal/outputs/outputsv1"
 )
 
-// Drop forgets attempts. Compaction frees what they took.
+// Drop deletes attempts. Their disk space is freed by compaction.
 func (s *Store) Drop(ctx context.Context, reason string, keys ...[]byte) error {
 	var entries []*pb.Entry
 	for _, key := range keys {
--- a/internal/outputs/disk/fault_test.go
+++ b/internal/outputs/disk/fault_test.go
@@ -12,8 +12,8 @@
 	"reedtrack/internal/outputs"
 )
 
-// A failed sync acknowledges nothing, and what follows goes to another segment. A full
-// disk takes nothing new, serves reads, and takes drops.
+// A write whose sync failed is not acknowledged, and later writes go to another segment. A
+// store on a full disk refuses new entries, but serves reads and accepts drops.
 func TestStoreOnFailingAndFullDisk(t *testing.T) {
 	clock := time.Unix(1e6, 0)
 	fs := newFaultFS(1, 0)
@@ -45,20 +45,20 @@
 		t.Fatalf("full: %v", err)
 	}
 	if !s.Stats().Full {
-		t.Error("does not say that it is full")
+		t.Error("Stats does not report a full disk")
 	}
 	if blocks, next, err := s.Blocks(key, 0, 0, 0, 1<<20); err != nil || next != 6 || len(blocks) != 2 {
 		t.Fatalf("reads while full: %d blocks up to %d, %v", len(blocks), next, err)
 	}
 	s.Kill()
 	fs.loseUnsynced()
-	// Records 6 and 7 of the write that failed stand in a segment: they do not count,
-	// since the one after it has begun with their number.
+	// Records 6 and 7 of the failed write are in a segment. They do not count, since the
+	// base of the next segment is their number.
 	s = openTestStore(t, dir, nil, &clock)
 	if held := s.Held(key); outputs.Spans(held.Spans).End() != 6 {
 		t.Fatalf("after a restart holds %v", held.Spans)
 	}
-	// Until the index has forgotten it, an attempt that was dropped can't come back.
+	// An attempt that was dropped can't be written again until the index has deleted it.
 	if err := s.Put(ctx, dropEntry(key)); err != nil || s.Held(key) != nil {
 		t.Fatalf("drop: %v", err)
 	}
@@ -71,28 +71,28 @@
 	}
 }
 
-// checkFailedCheckpointIsRetried checks that what a failed checkpoint could not write
-// is written by the next one.
+// checkFailedCheckpointIsRetried checks that the changes of a failed checkpoint are
+// written by the next one.
 func checkFailedCheckpointIsRetried(t *testing.T, s *Store, fs *faultFS, key []byte) {
 	t.Helper()
 	fs.failTx = true
 	if err := s.Checkpoint(); err == nil {
-		t.Fatal("the index was not written, and nobody said so")
+		t.Fatal("Checkpoint returned no error though the transaction failed")
 	}
 	if err := s.Checkpoint(); err != nil {
 		t.Fatal(err)
 	}
 	s.db.View(func(tx *bbolt.Tx) error {
 		if tx.Bucket(bucketAttempts).Get(key) == nil || tx.Bucket(bucketBlocks).Stats().KeyN != 2 {
-			t.Error("the index does not have what could not be written at first")
+			t.Error("the index lacks changes of the failed checkpoint")
 		}
 		return nil
 	})
 }
 
-// A bit that flips on disk is found by a reader, by the scrubber, by compaction and by
-// a rebuild, and from then on what it stood for counts as not held. Nothing else is
-// lost with it, and it can be put again.
+// A flipped bit on disk is detected by a reader, the scrubber, compaction and a rebuild.
+// The damaged entry is treated as missing from then on, nothing else is lost with it, and
+// it can be written again.
 func TestFlippedBitCountsAsNotHeld(t *testing.T) {
 	ctx := context.Background()
 	for _, c := range []struct {
@@ -138,7 +138,7 @@
 			if err := s.Put(ctx, blockEntry(key, 3, 8)); err != nil {
 				t.Fatal(err)
 			}
-			for range 2 { // before and after the index has it
+			for range 2 { // before and after the checkpoint
 				if blocks, next, err = s.Blocks(key, 0, 0, 0, 1<<20); err != nil || next != 8 {
 					t.Fatalf("repaired: %d blocks up to %d, %v", len(blocks), next, err)
 				}
@@ -154,8 +154,8 @@
 	}
 }
 
-// flipBitInSecondBlock puts an attempt of two blocks, and another one that ends the
-// segment, and damages the second block.
+// flipBitInSecondBlock writes an attempt of two blocks and another attempt that fills the
+// segment, and damages the second block of the first.
 func flipBitInSecondBlock(t *testing.T, s *Store, dir string, key, other []byte) {
 	t.Helper()
 	ctx := context.Background()
--- a/internal/outputs/disk/faultfs_test.go
+++ b/internal/outputs/disk/faultfs_test.go
@@ -9,19 +9,19 @@
 	"syscall"
 )
 
-var errCrashed = errors.New("the machine has stopped")
+var errCrashed = errors.New("simulated crash")
 
-// faultFS is a file system that fails: it crashes at a step and tears what was not
-// synced then, runs out of space, or fails a sync.
+// faultFS is a file system that injects faults: it crashes at a given step and loses part
+// of the unsynced data, runs out of space, or fails a sync.
 type faultFS struct {
 	osFS
 	mu       sync.Mutex
 	rnd      *rand.Rand
 	steps    int
-	crashAt  int // a step; 0: never
+	crashAt  int // step of the crash; 0: never
 	crashed  bool
 	noSpace  bool
-	failSync int  // at which step a sync fails; 0: never
+	failSync int  // first step at which a sync fails; 0: never
 	failTx   bool // the next transaction of the index fails
 	files    map[string]*faultFile
 	newNames map[string]bool // created since the directory was synced
@@ -38,7 +38,7 @@
 	return &faultFS{rnd: rand.New(rand.NewPCG(seed, uint64(crashAt))), crashAt: crashAt, files: map[string]*faultFile{}, newNames: map[string]bool{}}
 }
 
-// step counts a change, and reports whether the machine crashes in it.
+// step counts a modification, and reports whether the machine crashes in it.
 func (fs *faultFS) step() (crashes bool, err error) {
 	if fs.crashed {
 		return false, errCrashed
@@ -123,8 +123,8 @@
 	return errors.Join(f(), err)
 }
 
-// loseUnsynced leaves of the files what a crashed machine leaves: what was synced, and any part
-// of the rest.
+// loseUnsynced leaves the files as a machine crash would: synced data is kept, with an
+// arbitrary part of the rest.
 func (fs *faultFS) loseUnsynced() {
 	fs.mu.Lock()
 	defer fs.mu.Unlock()
@@ -136,7 +136,7 @@
 		if f.size > f.synced {
 			unsynced := f.size - f.synced
 			f.f.Truncate(f.synced + fs.rnd.Int64N(unsynced+1))
-			if fs.rnd.IntN(2) == 0 { // a page that was never written
+			if fs.rnd.IntN(2) == 0 { // a page that was not written back
 				at := f.synced + fs.rnd.Int64N(unsynced)
 				f.f.WriteAt(make([]byte, fs.rnd.IntN(64)), at)
 			}
--- a/internal/outputs/disk/fs.go
+++ b/internal/outputs/disk/fs.go
@@ -19,21 +19,21 @@
 	Close() error
 }
 
-// FS is the file system under the segments. Tests inject one that fails.
+// FS is the file system that holds the segments. Tests inject faults through it.
 type FS interface {
-	// Create makes a file that does not exist yet.
+	// Create creates a file, which must not exist.
 	Create(name string) (File, error)
 	// Open opens a file for reading and writing.
 	Open(name string) (File, error)
 	Remove(name string) error
-	// List returns the names in a directory, in order.
+	// List returns the names in a directory, sorted.
 	List(dir string) ([]string, error)
-	// SyncDir makes the names in a directory durable.
+	// SyncDir makes the entries of a directory durable.
 	SyncDir(dir string) error
-	// Free returns how many bytes may still be written.
+	// Free returns the number of bytes that can still be written.
 	Free(dir string) (uint64, error)
-	// Transact runs a transaction of the index. It is here so that tests can make
-	// one fail.
+	// Transact runs an index transaction. It is part of FS so that tests can make a
+	// transaction fail.
 	Transact(update func() error) error
 }
 
--- a/internal/outputs/disk/held.go
+++ b/internal/outputs/disk/held.go
@@ -11,7 +11,7 @@
 	pb "reedtrack/internal/outputs/outputsv1"
 )
 
-// Held returns what is held of an attempt; nil: nothing.
+// Held describes what is stored of an attempt. It returns nil if nothing is.
 func (s *Store) Held(key []byte) *pb.Held {
 	state := s.attemptState(key)
 	if state == nil {
@@ -24,7 +24,7 @@
 	return newHeld(key, state)
 }
 
-// attemptState returns a copy of an attempt's state; nil: nothing is held.
+// attemptState returns a copy of an attempt's state, or nil if nothing is stored.
 func (s *Store) attemptState(key []byte) *pb.AttemptState {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -35,8 +35,8 @@
 	return proto.CloneOf(a.state)
 }
 
-// setWhole notes that all chunks of an attempt are held, unless it was dropped and
-// came again meanwhile.
+// setWhole records that all chunks of an attempt are stored, unless it was dropped and
+// created again meanwhile.
 func (s *Store) setWhole(key []byte, id uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -46,7 +46,8 @@
 	}
 }
 
-// newHeld describes a state to readers and peers; nil: the key is not an attempt's.
+// newHeld converts a state to the form that readers and peers receive. It returns nil if
+// the key is not an attempt's.
 func newHeld(key []byte, state *pb.AttemptState) *pb.Held {
 	a, err := outputs.ParseKey(key)
 	if err != nil {
@@ -79,20 +80,21 @@
 	}
 }
 
-// isComplete reports whether everything of a sealed attempt is held.
+// isComplete reports whether an attempt is sealed and all its records and chunks are
+// stored.
 func isComplete(state *pb.AttemptState) bool {
 	return state.Sealed && state.Whole && len(outputs.Spans(state.Spans).Missing(0, state.Records)) == 0
 }
 
-// Bytes that stand for facts in a fingerprint. Members compare fingerprints, so they
-// can't change.
+// Marker bytes in a fingerprint. Members compare fingerprints, so these values must not
+// change.
 const (
 	fingerprintComplete = 1
 	fingerprintMeta     = 2
 )
 
-// fingerprint sums up what is held of an attempt. It is the same in every store that
-// holds the same.
+// fingerprint hashes what is stored of an attempt. Stores that hold the same data compute
+// the same fingerprint.
 func fingerprint(key []byte, state *pb.AttemptState) uint64 {
 	h := xxhash.New()
 	h.Write(key)
@@ -113,7 +115,7 @@
 	return h.Sum64()
 }
 
-// hasAllChunks reports whether every chunk that an attempt's seal names is held.
+// hasAllChunks reports whether every chunk that an attempt's seal references is stored.
 func (s *Store) hasAllChunks(key []byte) bool {
 	seal, _ := s.Seal(key)
 	if seal == nil {
@@ -126,8 +128,7 @@
 	return len(s.MissingChunks(teamOfKey(string(key)), hashes)) == 0
 }
 
-// Seal returns an attempt's seal and what is known of its beginning; nil for what is
-// not held.
+// Seal returns an attempt's seal and its metadata; either is nil if it is not stored.
 func (s *Store) Seal(key []byte) (*pb.Seal, *pb.Meta) {
 	s.mu.Lock()
 	a := s.loadAttempt(string(key))
@@ -143,7 +144,7 @@
 	return seal, meta
 }
 
-// indexedSeal reads a seal from the index; nil: it has none.
+// indexedSeal reads a seal from the index. It returns nil if there is none.
 func (s *Store) indexedSeal(key []byte) *pb.Seal {
 	seal := new(pb.Seal)
 	found := false
--- a/internal/outputs/disk/helpers_test.go
+++ b/internal/outputs/disk/helpers_test.go
@@ -18,7 +18,7 @@
 	return &pb.Attempt{Job: "wk-000007", Task: task, Try: try, Team: "red", Machine: "host-1", Stint: 1, Run: outputs.RunOf([]byte("a secret of a writer"))}
 }
 
-// testRecord returns the record of an attempt with a number; it is always the same.
+// testRecord returns the record of an attempt with a sequence number. It is deterministic.
 func testRecord(key []byte, seq uint64) *pb.Record {
 	r := rand.New(rand.NewPCG(seq, uint64(len(key))+uint64(key[len(key)-30])))
 	stream := pb.Stream_STREAM_STDOUT
@@ -64,8 +64,7 @@
 // unlimited is a Limiter that never waits.
 func unlimited(context.Context, int) error { return nil }
 
-// openTestStore opens a store with small segments that makes checkpoints only when it
-// is told to.
+// openTestStore opens a store with small segments that makes checkpoints only on request.
 func openTestStore(t testing.TB, dir string, fs FS, clock *time.Time) *Store {
 	t.Helper()
 	s, err := Open(Options{
@@ -98,7 +97,7 @@
 	}
 }
 
-// removeIndex removes the index of a closed store, which is rebuilt when it opens.
+// removeIndex removes the index of a closed store, so that it is rebuilt at the next open.
 func removeIndex(t testing.TB, dir string) {
 	t.Helper()
 	if err := os.Remove(filepath.Join(dir, indexName)); err != nil {
--- a/internal/outputs/disk/index.go
+++ b/internal/outputs/disk/index.go
@@ -17,17 +17,17 @@
 	pb "reedtrack/internal/outputs/outputsv1"
 )
 
-// Buckets of the index, and what they map.
+// Buckets of the index, and their keys and values.
 var (
 	bucketMeta     = []byte("meta")     // "position", "format"
 	bucketAttempts = []byte("attempts") // key -> AttemptState
-	bucketFailed   = []byte("failed")   // keys of attempts sealed with another status than 0
+	bucketFailed   = []byte("failed")   // keys of attempts sealed with a non-zero exit status
 	bucketSeals    = []byte("seals")    // key -> Seal
-	bucketBlocks   = []byte("blocks")   // id, first -> Place
-	bucketChunks   = []byte("chunks")   // team, 0, hash -> Place
-	bucketUses     = []byte("uses")     // team, 0, hash, id -> key of the attempt
-	bucketSegments = []byte("segments") // number -> SegmentState
-	bucketTeams    = []byte("teams")    // name -> bytes on disk, uint64
+	bucketBlocks   = []byte("blocks")   // attempt ID, first record -> Place
+	bucketChunks   = []byte("chunks")   // team, zero byte, hash -> Place
+	bucketUses     = []byte("uses")     // team, zero byte, hash, attempt ID -> key of the attempt
+	bucketSegments = []byte("segments") // segment ID -> SegmentState
+	bucketTeams    = []byte("teams")    // team -> bytes on disk, uint64
 )
 
 var buckets = [][]byte{
@@ -45,7 +45,7 @@
 const (
 	indexName   = "index.db"
 	indexFormat = "1"
-	// lockTimeout is how long a process that is just ending may still hold the index.
+	// lockTimeout is how long to wait for a terminating process to release the index.
 	lockTimeout = 2 * time.Second
 )
 
@@ -55,11 +55,11 @@
 	keyFormat   = []byte("format")
 )
 
-// ErrInUse says that another process has the directory.
+// ErrInUse means that another process uses the directory.
 var ErrInUse = errors.New("another store runs on this directory")
 
-// openIndex opens the index, or an empty one in place of one that can't be read, which
-// is renamed and kept.
+// openIndex opens the index. One that can't be read is renamed and kept, and replaced by
+// an empty one.
 func openIndex(dir string) (db *bbolt.DB, err error) {
 	path := filepath.Join(dir, indexName)
 	db, err = openIndexFile(path)
@@ -74,10 +74,10 @@
 	return openIndexFile(path)
 }
 
-// openIndexFile opens an index and makes what buckets it does not have.
+// openIndexFile opens an index and creates missing buckets.
 func openIndexFile(path string) (db *bbolt.DB, err error) {
 	defer func() {
-		if p := recover(); p != nil { // bbolt panics over damaged pages
+		if p := recover(); p != nil { // bbolt panics on damaged pages
 			err = fmt.Errorf("%v", p)
 		}
 	}()
@@ -120,7 +120,7 @@
 	return string(k[:max(i, 0)])
 }
 
-// putMessage writes a message.
+// putMessage stores a protobuf message under a key.
 func putMessage(b *bbolt.Bucket, k []byte, m proto.Message) error {
 	raw, err := proto.Marshal(m)
 	if err != nil {
@@ -129,13 +129,13 @@
 	return b.Put(k, raw)
 }
 
-// getMessage reads a message, and reports whether there is one.
+// getMessage reads a protobuf message, and reports whether one was found.
 func getMessage(b *bbolt.Bucket, k []byte, m proto.Message) bool {
 	raw := b.Get(k)
 	return raw != nil && proto.Unmarshal(raw, m) == nil
 }
 
-// getPosition reads up to where the index covers the segments.
+// getPosition returns the position in the segments that the index covers.
 func getPosition(tx *bbolt.Tx) *pb.Position {
 	p := new(pb.Position)
 	getMessage(tx.Bucket(bucketMeta), keyPosition, p)
--- a/internal/outputs/disk/list.go
+++ b/internal/outputs/disk/list.go
@@ -13,8 +13,8 @@
 	pb "reedtrack/internal/outputs/outputsv1"
 )
 
-// Scan lists attempts whose key begins with a prefix, after a key (nil: from the
-// first), by key. more says that there are more than limit.
+// Scan lists attempts whose key has a prefix and is greater than after (nil: no lower
+// bound), in key order. more reports that there are more than limit.
 func (s *Store) Scan(prefix, after []byte, which pb.Which, limit int) (list []*pb.Held, more bool) {
 	s.scanAttempts(prefix, after, which, func(key []byte, state *pb.AttemptState) bool {
 		held := newHeld(key, state)
@@ -31,7 +31,7 @@
 	return list, more
 }
 
-// Teams lists the teams that have attempts of a job here, in the order of keys.
+// Teams lists the teams that have attempts of a job in this store, sorted.
 func (s *Store) Teams(job string) []string {
 	prefix := outputs.JobPrefix(job, "")
 	found := map[string]bool{}
@@ -47,20 +47,20 @@
 		for k, _ := cursor.Seek(prefix); k != nil && bytes.HasPrefix(k, prefix); {
 			team := teamOfKey(string(k))
 			found[team] = true
-			k, _ = cursor.Seek(append(append(bytes.Clone(prefix), team...), 1)) // behind all of the team's
+			k, _ = cursor.Seek(append(append(bytes.Clone(prefix), team...), 1)) // skips the team's other attempts
 		}
 		return nil
 	})
 	return slices.Sorted(maps.Keys(found))
 }
 
-// ForEachAttempt calls visit with every attempt held and its fingerprint, by key,
+// ForEachAttempt calls visit with every stored attempt and its fingerprint, in key order,
 // until visit returns false. visit must not call the store.
 func (s *Store) ForEachAttempt(visit func(key []byte, fingerprint uint64, state *pb.AttemptState) bool) {
 	s.ForEachAttemptAfter(nil, visit)
 }
 
-// ForEachAttemptAfter is ForEachAttempt from behind a key on; nil: from the first.
+// ForEachAttemptAfter is like ForEachAttempt, but starts after a key (nil: at the first).
 func (s *Store) ForEachAttemptAfter(after []byte, visit func(key []byte, fingerprint uint64, state *pb.AttemptState) bool) {
 	s.scanAttempts(nil, after, pb.Which_WHICH_ALL, func(key []byte, state *pb.AttemptState) bool {
 		return visit(key, fingerprint(key, state), state)
@@ -77,13 +77,13 @@
 	return true
 }
 
-// dirtyState is an attempt in memory that the index lags behind.
+// dirtyState is an attempt in memory that is newer than the index.
 type dirtyState struct {
 	key   string
-	state *pb.AttemptState // nil: it is not listed
+	state *pb.AttemptState // nil if it is to be omitted
 }
 
-// dirtyStates returns the attempts in memory that the index lags behind, by key.
+// dirtyStates returns the attempts in memory that are newer than the index, in key order.
 func (s *Store) dirtyStates(prefix, after []byte, which pb.Which) []dirtyState {
 	var list []dirtyState
 	s.mu.Lock()
@@ -102,8 +102,8 @@
 	return list
 }
 
-// scanAttempts calls visit with attempts by key until it returns false. It merges what
-// the index has with what has changed in memory since, which takes precedence.
+// scanAttempts calls visit with attempts in key order until it returns false. It merges
+// the index with newer attempts in memory, which take precedence.
 func (s *Store) scanAttempts(prefix, after []byte, which pb.Which, visit func(key []byte, state *pb.AttemptState) bool) {
 	dirty := s.dirtyStates(prefix, after, which)
 	s.db.View(func(tx *bbolt.Tx) error {
--- a/internal/outputs/disk/model_test.go
+++ b/internal/outputs/disk/model_test.go
@@ -13,7 +13,7 @@
 	pb "reedtrack/internal/outputs/outputsv1"
 )
 
-// model holds what was acknowledged, to be compared with what a store holds.
+// model records what was acknowledged, for comparison with the content of a store.
 type model struct {
 	attempts map[string]*modelAttempt
 	chunks   map[int]bool
@@ -21,8 +21,8 @@
 
 type modelAttempt struct {
 	acked         map[uint64]bool
-	sealedRecords int // records, or -1
-	chunk         int // named by the seal, or -1
+	sealedRecords int // number of records, or -1
+	chunk         int // referenced by the seal, or -1
 	open          bool
 }
 
@@ -39,12 +39,12 @@
 	return a
 }
 
-// randomKey draws one of a few keys, so that attempts are met again.
+// randomKey returns one of a few keys, so that attempts are reused.
 func randomKey(rnd *rand.Rand) []byte {
 	return outputs.Key(testAttempt(uint32(rnd.IntN(3)), uint64(1+rnd.IntN(2))))
 }
 
-// Bounds of the draw by which model.step chooses an action.
+// Upper bounds of the random number by which model.step selects an action.
 const (
 	drawBlock      = 10
 	drawChunk      = 12
@@ -55,8 +55,8 @@
 	drawLimit      = 20
 )
 
-// droppedBy returns the key that the step of a source of random numbers drops; empty:
-// none. It draws like model.step.
+// droppedBy returns the key that model.step drops for a random source, or "" if it drops
+// none. It draws numbers in the same order as model.step.
 func droppedBy(rnd *rand.Rand) string {
 	key := randomKey(rnd)
 	rnd.IntN(100)
@@ -66,8 +66,8 @@
 	return ""
 }
 
-// step does one random thing to the store and, if that was acknowledged, to the model.
-// It returns what went wrong.
+// step applies a random action to the store and, if it was acknowledged, to the model. It
+// returns the action's error.
 func (m *model) step(s *Store, rnd *rand.Rand, clock *time.Time) error {
 	ctx := context.Background()
 	key := randomKey(rnd)
@@ -97,7 +97,7 @@
 	}
 }
 
-// putBlock puts a block that goes on, repeats records or leaves a hole.
+// putBlock writes a block that continues the attempt, repeats records or leaves a gap.
 func (a *modelAttempt) putBlock(ctx context.Context, s *Store, key []byte, rnd *rand.Rand) error {
 	from := uint64(max(0, len(a.acked)-rnd.IntN(4)+rnd.IntN(3)))
 	to := from + 1 + uint64(rnd.IntN(5))
@@ -129,7 +129,7 @@
 	return err
 }
 
-// seal seals an attempt after its last record, with an artefact if a chunk is held.
+// seal seals an attempt after its last record, with an artefact if a chunk is stored.
 func (m *model) seal(ctx context.Context, s *Store, key []byte, a *modelAttempt) error {
 	if a.sealedRecords >= 0 || !a.open {
 		return nil
@@ -155,8 +155,8 @@
 	return err
 }
 
-// check compares what can be read with what was acknowledged. What was not
-// acknowledged may be there or not, but never with other content.
+// check compares what can be read with what was acknowledged. Unacknowledged data may or
+// may not be there, but never with different content.
 func (m *model) check(s *Store) error {
 	if err := checkCompactedSegments(s); err != nil {
 		return err
@@ -172,8 +172,8 @@
 	return nil
 }
 
-// checkCompactedSegments checks that no output of a compaction that was not installed
-// is kept.
+// checkCompactedSegments checks that outputs of a compaction that was not installed are
+// removed.
 func checkCompactedSegments(s *Store) error {
 	return s.db.View(func(tx *bbolt.Tx) error {
 		for id, g := range s.segments {
@@ -208,7 +208,7 @@
 	return nil
 }
 
-// readAll reads an attempt in small pieces, and checks each record.
+// readAll reads an attempt in small parts and checks each record.
 func readAll(s *Store, key []byte, end uint64) (map[uint64]bool, error) {
 	got := map[uint64]bool{}
 	for from := uint64(0); from < end; {
@@ -227,7 +227,7 @@
 			for _, r := range list {
 				want := testRecord(key, r.Seq)
 				if !bytes.Equal(r.Data, want.Data) || r.AtNs != want.AtNs || r.Stream != want.Stream {
-					return nil, fmt.Errorf("record %d is another", r.Seq)
+					return nil, fmt.Errorf("record %d has unexpected content", r.Seq)
 				}
 				if got[r.Seq] {
 					return nil, fmt.Errorf("record %d comes twice", r.Seq)
--- a/internal/outputs/disk/put.go
+++ b/internal/outputs/disk/put.go
@@ -10,26 +10,26 @@
 	pb "reedtrack/internal/outputs/outputsv1"
 )
 
-// maxBatchBytes is how much the writer gathers for one write and one sync.
+// maxBatchBytes is how much the writer collects for one write and one sync.
 const maxBatchBytes = 8 << 20
 
-// putRequest is one call of Put on its way to the writer.
+// putRequest is a call of Put that is queued for the writer.
 type putRequest struct {
 	items []putItem
 	size  int64
-	done  chan error // buffered: the writer does not wait for a caller that has gone
+	done  chan error // buffered, so that the writer does not block if the caller has returned
 }
 
 type putItem struct {
 	entry *pb.Entry
-	tally *pb.Tally // of a block
+	tally *pb.Tally // for a block
 }
 
 var errEmptyEntry = errors.New("entry without content")
 
-// Put stores entries and returns once they are synced: all of them, or none. What is
-// held already is passed over, so entries may be put any number of times. Blocks and
-// chunks are checked in whole before anything is written.
+// Put stores entries and returns once they are synced. It stores all of them or none.
+// Entries that are already stored are skipped, so Put may be repeated. Blocks and chunks
+// are validated completely before anything is written.
 func (s *Store) Put(ctx context.Context, entries ...*pb.Entry) error {
 	r := &putRequest{done: make(chan error, 1)}
 	onlyDrops := true
@@ -47,7 +47,7 @@
 	if len(r.items) == 0 {
 		return nil
 	}
-	if !onlyDrops { // a drop is how a full disk gets space
+	if !onlyDrops { // drops free space on a full disk
 		if err := s.checkSpace(r.size); err != nil {
 			return err
 		}
@@ -68,8 +68,8 @@
 	}
 }
 
-// checkEntry checks an entry before it is queued. Of an unpacked block only the tally
-// is kept: what waits takes no more memory than what came.
+// checkEntry validates an entry before it is queued. Only the tally of an unpacked block
+// is kept, so that a queued request takes no more memory than was received.
 func (s *Store) checkEntry(ctx context.Context, e *pb.Entry) (putItem, error) {
 	item := putItem{entry: e}
 	var err error
@@ -81,7 +81,7 @@
 			return err
 		})
 	case *pb.Entry_Chunk:
-		// Its key is the team, not an attempt.
+		// A chunk's key is the team, not an attempt's key.
 		return item, s.withUnpackSlot(ctx, func() error {
 			_, err := outputs.UnpackChunk(w.Chunk)
 			return err
@@ -96,8 +96,8 @@
 	return item, err
 }
 
-// withUnpackSlot runs a check that unpacks something. As many run at once as there
-// are processors: more would only take memory.
+// withUnpackSlot runs a check that decompresses data. At most one check per processor runs
+// at a time: more would only use more memory.
 func (s *Store) withUnpackSlot(ctx context.Context, check func() error) error {
 	select {
 	case s.unpackSlots <- struct{}{}:
@@ -108,7 +108,8 @@
 	}
 }
 
-// enqueue hands a request to the writer. One request is always taken, however large.
+// enqueue queues a request for the writer. A request of any size is accepted if the queue
+// is empty.
 func (s *Store) enqueue(r *putRequest) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -120,12 +121,12 @@
 		return ErrBusy
 	}
 	s.queuedBytes += r.size
-	s.queue <- r // does not block: it is only filled under mu
+	s.queue <- r // does not block: requests are only sent under mu
 	return nil
 }
 
-// refreshSealedAttempts brings up to date whether all chunks are held of the attempts that were
-// sealed, so that a list shows them as complete.
+// refreshSealedAttempts updates whether all chunks of newly sealed attempts are stored, so
+// that a listing shows them as complete.
 func (s *Store) refreshSealedAttempts(items []putItem) {
 	for _, item := range items {
 		if len(item.entry.GetSeal().GetArtefacts()) > 0 {
@@ -134,7 +135,7 @@
 	}
 }
 
-// writeLoop is the only goroutine that writes to log segments and applies entries.
+// writeLoop runs in the only goroutine that writes to log segments and applies entries.
 func (s *Store) writeLoop() {
 	for {
 		var batch []*putRequest
--- a/internal/outputs/disk/recover.go
+++ b/internal/outputs/disk/recover.go
@@ -13,13 +13,12 @@
 	pb "reedtrack/internal/outputs/outputsv1"
 )
 
-// rebuildCheckpointEntries is the number of entries between two checkpoints of a
-// rebuild: their state has to fit into memory.
+// rebuildCheckpointEntries is the number of entries between two checkpoints of a rebuild.
+// It limits the state that is held in memory.
 const rebuildCheckpointEntries = 20000
 
-// recover takes the state from the index and replays the segments from its position
-// on. An index that is new, or whose rebuild was interrupted, is rebuilt from all
-// segments.
+// recover loads the state from the index and replays the segments from its position. An
+// index that is new, or whose rebuild was interrupted, is rebuilt from all segments.
 func (s *Store) recover() error {
 	started := time.Now()
 	indexed, isNew, err := s.readIndexState()
@@ -51,7 +50,7 @@
 	return nil
 }
 
-// readIndexState reads the position, the teams and the segments that the index knows.
+// readIndexState reads the position, the teams and the segments from the index.
 func (s *Store) readIndexState() (indexed map[uint32]*pb.SegmentState, isNew bool, err error) {
 	indexed = map[uint32]*pb.SegmentState{}
 	err = s.db.View(func(tx *bbolt.Tx) error {
@@ -73,8 +72,8 @@
 	return indexed, isNew, err
 }
 
-// openSegments opens the segment files, removes those that a compaction has replaced
-// or that it did not finish, and returns the numbers of the others in order.
+// openSegments opens the segment files, removes those that a compaction has replaced or
+// did not finish, and returns the IDs of the others in order.
 func (s *Store) openSegments(indexed map[uint32]*pb.SegmentState, rebuild bool) (logs, compacted []uint32, err error) {
 	names, err := s.fs.List(s.options.Dir)
 	if err != nil {
@@ -87,8 +86,8 @@
 		}
 		s.nextSegment = max(s.nextSegment, id+1)
 		path := filepath.Join(s.options.Dir, name)
-		// A compaction counts once the index has it; what it replaced is removed after
-		// that.
+		// A compaction takes effect when the index has its outputs; the inputs are removed
+		// after that.
 		if !rebuild && indexed[id] == nil && (isCompacted || id <= s.position.Segment) {
 			slog.Info("replaced segment removed", "segment", path)
 			if err := s.fs.Remove(path); err != nil {
@@ -140,7 +139,8 @@
 	}, nil
 }
 
-// recordMissingSegments notes what the index points to in vain.
+// recordMissingSegments records the segments that the index references but that do not
+// exist.
 func (s *Store) recordMissingSegments(indexed map[uint32]*pb.SegmentState) {
 	for id := range indexed {
 		if s.segments[id] == nil {
@@ -151,7 +151,7 @@
 	}
 }
 
-// replayLogs applies the log segments from the index's position on.
+// replayLogs applies the log segments from the index's position.
 func (s *Store) replayLogs(logs []uint32) error {
 	startSegment, startOffset := s.position.Segment, s.position.Offset
 	for i, id := range logs {
@@ -169,8 +169,8 @@
 	return nil
 }
 
-// rebuildIndex applies all segments: the compacted ones first, the newest of them
-// before those that it may have replaced, then the logs in order.
+// rebuildIndex applies all segments: first the compacted ones, newest first so that an
+// output comes before the segments it may have replaced, then the logs in order.
 func (s *Store) rebuildIndex(compacted, logs []uint32) error {
 	drops, err := s.readDrops(slices.Concat(compacted, logs))
 	if err != nil {
@@ -189,8 +189,8 @@
 	return nil
 }
 
-// readDrops returns by key the number of the last drop of each attempt: what was
-// dropped stays so, in whichever segment its entries stand.
+// readDrops returns, by key, the LSN of the last drop of each attempt. Entries older than
+// that stay dropped, in whichever segment they are.
 func (s *Store) readDrops(ids []uint32) (map[string]uint64, error) {
 	drops := map[string]uint64{}
 	for _, id := range ids {
@@ -207,9 +207,9 @@
 	return drops, nil
 }
 
-// baseAfter returns the base of the first of the later logs that has one: entries of
-// the log before can't have that number or a higher one, since they were given again.
-// 0: no bound.
+// baseAfter returns the base of the first of the later logs that has one, or 0 if none
+// has. Entries of the preceding log with that LSN or a higher one are invalid, since these
+// numbers were assigned again.
 func (s *Store) baseAfter(later []uint32) uint64 {
 	for _, id := range later {
 		if base := s.segments[id].base; base > 0 {
@@ -219,9 +219,9 @@
 	return 0
 }
 
-// applySegment applies the entries of a segment from an offset on whose number is
-// below a bound (0: none). With drops, entries of attempts that were dropped later are
-// left out.
+// applySegment applies the entries of a segment from an offset whose LSN is lower than
+// below (0: no bound). If drops is given, entries of attempts that were dropped later are
+// skipped.
 func (s *Store) applySegment(id uint32, offset int64, below uint64, drops map[string]uint64) error {
 	g := s.segments[id]
 	count, now := 0, s.options.Now()
--- a/internal/outputs/disk/scrub.go
+++ b/internal/outputs/disk/scrub.go
@@ -12,23 +12,23 @@
 	pb "reedtrack/internal/outputs/outputsv1"
 )
 
-// Limiter is asked before each piece of background work, with the bytes that it is
-// about to read or write. It waits until they may be, and returns an error to stop the
-// work.
+// Limiter throttles background work. It is called before each operation with the number of
+// bytes to be read or written, and waits until they are allowed. It returns an error to
+// stop the work.
 type Limiter func(ctx context.Context, bytes int) error
 
-// ScrubResult is what a scrub found.
+// ScrubResult is the result of a scrub.
 type ScrubResult struct {
-	Entries    int      // read
-	Damaged    int      // of them; they count as not held from now on
-	Mismatched [][]byte // keys of complete attempts whose records are not those that were sealed
+	Entries    int      // entries read
+	Damaged    int      // of these; treated as missing from now on
+	Mismatched [][]byte // keys of complete attempts whose records do not match the seal's digest
 }
 
-// allSegments stands for no segment in particular.
+// allSegments selects all segments; segment IDs start at 1.
 const allSegments = 0
 
-// Scrub reads everything that the index points to once, notes what is damaged as not
-// held, and compares complete attempts with the digests of their seals.
+// Scrub reads everything that the index references once, marks damaged entries as missing,
+// and compares complete attempts with the digests in their seals.
 func (s *Store) Scrub(ctx context.Context, limit Limiter) (ScrubResult, error) {
 	return s.scrubSegment(ctx, limit, allSegments)
 }
@@ -41,7 +41,8 @@
 	result  ScrubResult
 }
 
-// scrubSegment is Scrub for one segment; there, digests are not compared.
+// scrubSegment is Scrub limited to one segment, without the comparison of digests. With
+// allSegments it is the same as Scrub.
 func (s *Store) scrubSegment(ctx context.Context, limit Limiter, segment uint32) (ScrubResult, error) {
 	pass := &scrub{store: s, limit: limit, segment: segment}
 	err := pass.attempts(ctx)
@@ -115,8 +116,8 @@
 	}
 }
 
-// read reads an entry. It is nil if it is damaged, or if compaction has moved it
-// meanwhile: then it was read there.
+// read reads an entry. The entry is nil if it is damaged, or if compaction has moved it
+// meanwhile; compaction has then read and verified it.
 func (p *scrub) read(ctx context.Context, place *pb.Place) (e *pb.Entry, damaged bool, err error) {
 	if err := p.limit(ctx, int(place.Length)); err != nil {
 		return nil, false, err
@@ -133,8 +134,8 @@
 	return e, false, err
 }
 
-// nextIndexedAttempt returns the first attempt in the index after a key (nil: the
-// first), with its blocks, or those in one segment. The key is nil at the end.
+// nextIndexedAttempt returns the first attempt in the index after a key (nil: the first),
+// with its blocks, or only those in one segment. The key is nil at the end.
 func (s *Store) nextIndexedAttempt(after []byte, segment uint32) (key []byte, state *pb.AttemptState, refs []blockRef) {
 	state = new(pb.AttemptState)
 	s.db.View(func(tx *bbolt.Tx) error {
@@ -155,8 +156,8 @@
 	return key, state, refs
 }
 
-// nextIndexedChunk returns the first chunk in the index after a key; nil: the first.
-// The key is nil at the end.
+// nextIndexedChunk returns the first chunk in the index after a key (nil: the first). The
+// key is nil at the end.
 func (s *Store) nextIndexedChunk(after []byte) (key []byte, place *pb.Place) {
 	place = new(pb.Place)
 	s.db.View(func(tx *bbolt.Tx) error {
@@ -169,7 +170,8 @@
 	return key, place
 }
 
-// seekAfter moves a cursor behind a key; nil: to the first.
+// seekAfter moves a cursor to the first key greater than after, or to the first key if
+// after is nil.
 func seekAfter(cursor *bbolt.Cursor, after []byte) (k, v []byte) {
 	if after == nil {
 		return cursor.First()
--- a/internal/outputs/disk/segment.go
+++ b/internal/outputs/disk/segment.go
@@ -20,9 +20,10 @@
 	pb "reedtrack/internal/outputs/outputsv1"
 )
 
-// A segment file is a header (magic, base) and a frame for each entry. The base is the
-// lowest number of an entry in it. Entries of the segment before with such a number
-// were never acknowledged: their write failed, and the number was given again.
+// A segment file is a header (magic, base) followed by a frame for each entry. The base is
+// the lowest LSN in the segment. Entries of the preceding segment with that LSN or a
+// higher one were never acknowledged: their write failed, and the numbers were assigned
+// again.
 const (
 	segmentMagic = "RTSEG1\r\n"
 	headerBytes  = len(segmentMagic) + 8
@@ -34,10 +35,10 @@
 	compactExt = ".cmp" // written by compaction
 )
 
-// ErrDamaged says that what stands on disk is not what was written there.
+// ErrDamaged means that the data on disk is not what was written.
 var ErrDamaged = framing.ErrDamaged
 
-// appendFrame appends an entry to a buffer as it stands in a segment.
+// appendFrame appends an encoded entry to a buffer.
 func appendFrame(to []byte, e *pb.Entry) ([]byte, error) {
 	start := len(to)
 	to, err := proto.MarshalOptions{}.MarshalAppend(framing.BeginFrame(to), e)
@@ -51,8 +52,8 @@
 	return to, nil
 }
 
-// segment is a file of entries. Readers hold it while they read; it is removed once
-// the index points to nothing in it and the last reader has released it.
+// segment is a file of entries. Readers hold a reference while they read. The file is
+// removed once the index references nothing in it and the last reader has released it.
 type segment struct {
 	id   uint32
 	file File
@@ -61,22 +62,22 @@
 
 	mu      sync.Mutex
 	readers int
-	removed bool // as soon as nobody reads it
+	removed bool // remove was called; the file is deleted once it has no readers
 	closed  bool
 }
 
-// segmentInfo is a segment and what is known of its content. Store.mu guards it.
+// segmentInfo is a segment and the metadata of its content. Store.mu guards it.
 type segmentInfo struct {
 	*segment
 	size      uint64
-	liveBytes uint64 // that the index, or the state in memory, points to
+	liveBytes uint64 // referenced by the index or the in-memory state
 	compacted bool
-	base      uint64    // no entry in it has a lower number
-	endedAt   time.Time // zero: it is still written
+	base      uint64    // no entry in it has a lower LSN
+	endedAt   time.Time // zero while it is being written
 	dirty     bool      // changed since the last checkpoint
 }
 
-// acquire holds a segment for reading, unless it is being removed.
+// acquire takes a read reference to a segment. It fails if the segment is being removed.
 func (s *segment) acquire() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -87,7 +88,7 @@
 	return true
 }
 
-// release ends what acquire began.
+// release returns a reference taken by acquire.
 func (s *segment) release() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -95,7 +96,7 @@
 	s.closeIfUnused()
 }
 
-// remove deletes the segment as soon as nobody reads it.
+// remove deletes the segment once it has no readers.
 func (s *segment) remove() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -107,7 +108,7 @@
 	if s.removed && s.readers == 0 && !s.closed {
 		s.closed = true
 		s.file.Close()
-		s.fs.Remove(s.name) // one that stays is removed at the next start
+		s.fs.Remove(s.name) // after an error the file is removed at the next start
 	}
 }
 
@@ -115,7 +116,7 @@
 func (s *segment) read(p *pb.Place) (*pb.Entry, error) {
 	buf := make([]byte, p.Length)
 	if _, err := s.file.ReadAt(buf, int64(p.Offset)); err != nil {
-		// A sector that can't be read is as bad as one with other content.
+		// An unreadable sector is treated like one with wrong content.
 		if errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) || errors.Is(err, syscall.EIO) {
 			return nil, ErrDamaged
 		}
@@ -129,7 +130,7 @@
 	return e, nil
 }
 
-// createSegment makes a segment file for entries from a number on.
+// createSegment creates a segment file for entries with LSNs from base on.
 func (s *Store) createSegment(base uint64, ext string) (*segment, error) {
 	s.mu.Lock()
 	id := s.nextSegment
@@ -148,7 +149,7 @@
 	return &segment{id: id, file: f, name: name, fs: s.fs}, nil
 }
 
-// writeHeader writes the header of a new segment, and syncs it and its name.
+// writeHeader writes the header of a new segment, and syncs the file and its directory.
 func (s *Store) writeHeader(f File, base uint64) error {
 	if _, err := f.WriteAt(encodeHeader(base), 0); err != nil {
 		return err
@@ -159,7 +160,7 @@
 	return s.fs.SyncDir(s.options.Dir)
 }
 
-// acquireSegment returns a segment held for reading; nil: it has been removed.
+// acquireSegment returns a segment with a read reference, or nil if it has been removed.
 func (s *Store) acquireSegment(id uint32) *segment {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -169,8 +170,8 @@
 	return nil
 }
 
-// readEntry reads an entry. The error is an ErrNotFound if compaction has removed its
-// segment meanwhile.
+// readEntry reads an entry. It returns ErrNotFound if compaction has removed its segment
+// meanwhile.
 func (s *Store) readEntry(p *pb.Place) (*pb.Entry, error) {
 	g := s.acquireSegment(p.Segment)
 	if g == nil {
@@ -191,14 +192,14 @@
 	return filepath.Join(dir, fmt.Sprintf("%010d%s", id, ext))
 }
 
-// parseSegmentName reads the number and kind of a segment from the name of its file.
+// parseSegmentName parses the ID and the kind of a segment from its file name.
 func parseSegmentName(name string) (id uint32, compacted, ok bool) {
 	ext := filepath.Ext(name)
 	n, err := strconv.ParseUint(strings.TrimSuffix(name, ext), 10, 32)
 	return uint32(n), ext == compactExt, err == nil && (ext == logExt || ext == compactExt)
 }
 
-// scanSegment reads a segment's entries from an offset on; see [framing.Scan].
+// scanSegment reads a segment's entries from an offset; see [framing.Scan].
 func scanSegment(f File, from int64, visit func(e *pb.Entry, offset int64, length int) error) (end int64, bad []framing.Range, err error) {
 	size, err := f.Size()
 	if err != nil {
@@ -213,7 +214,7 @@
 	})
 }
 
-// readHeader checks a segment's header and returns its base.
+// readHeader verifies a segment's magic and returns its base.
 func readHeader(f File) (base uint64, err error) {
 	header := make([]byte, headerBytes)
 	if _, err := f.ReadAt(header, 0); err != nil || string(header[:len(segmentMagic)]) != segmentMagic {
--- a/internal/outputs/disk/space.go
+++ b/internal/outputs/disk/space.go
@@ -10,26 +10,26 @@
 )
 
 const (
-	// freeReadInterval is how long a reading of the disk's free space is used, less
-	// what was written since.
+	// freeReadInterval is how long a reading of the free disk space is used, less what was
+	// written since.
 	freeReadInterval = 200 * time.Millisecond
-	// writeFailurePause is how long nothing new is taken after a failed write.
+	// writeFailurePause is how long new writes are refused after a failed write.
 	writeFailurePause = time.Second
 )
 
-// Stats tell how full a store is.
+// Stats describe the size and health of a store.
 type Stats struct {
-	Attempts   uint64 // held
-	DiskBytes  uint64 // of all segments
-	Free       uint64 // bytes of the disk, less the reserve
-	Full       bool   // nothing new is taken
-	Damaged    uint64 // entries found damaged since the start
+	Attempts   uint64 // stored
+	DiskBytes  uint64 // total size of the segments
+	Free       uint64 // free bytes on the disk, less the reserve
+	Full       bool   // new writes are refused
+	Damaged    uint64 // damaged entries found since the store was opened
 	Segments   int
-	TeamBytes  map[string]uint64 // on disk, by team
-	QueueBytes int64             // that wait to be written
+	TeamBytes  map[string]uint64 // disk space used, by team
+	QueueBytes int64             // bytes of queued requests
 }
 
-// Stats returns how full the store is.
+// Stats returns the store's current statistics.
 func (s *Store) Stats() Stats {
 	full := s.checkSpace(1) != nil
 	s.mu.Lock()
@@ -51,23 +51,23 @@
 	return stats
 }
 
-// TeamBytes returns what a team's outputs take on this disk.
+// TeamBytes returns the disk space used by a team's outputs.
 func (s *Store) TeamBytes(team string) uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.teamBytes[team]
 }
 
-// addAttemptBytes counts bytes of an attempt for its team; n may be negative. The
+// addAttemptBytes adds n, which may be negative, to the usage of an attempt's team. The
 // caller holds mu.
 func (s *Store) addAttemptBytes(key string, n int64) {
 	if strings.Count(key, "\x00") < 2 {
-		return // no team in it
+		return // the key has no team
 	}
 	s.addTeamBytes(teamOfKey(key), n)
 }
 
-// addTeamBytes counts bytes of a team; n may be negative. The caller holds mu.
+// addTeamBytes adds n, which may be negative, to the usage of a team. The caller holds mu.
 func (s *Store) addTeamBytes(team string, n int64) {
 	if total := int64(s.teamBytes[team]) + n; total > 0 {
 		s.teamBytes[team] = uint64(total)
@@ -77,7 +77,7 @@
 	s.dirtyTeams[team] = true
 }
 
-// checkSpace returns an ErrFull if bytes may not be written now.
+// checkSpace returns an ErrFull if the given number of bytes must not be written now.
 func (s *Store) checkSpace(bytes int64) error {
 	s.mu.Lock()
 	total := s.segmentBytes
@@ -104,15 +104,15 @@
 	return nil
 }
 
-// isReserveExhausted reports whether not even half of the reserve would be left after
-// a write of compaction, which may use some of it since it frees space.
+// isReserveExhausted reports whether a write by compaction would leave less than half of
+// the reserve. Compaction may use the other half since it frees space.
 func (s *Store) isReserveExhausted(bytes int64) bool {
 	s.freeMu.Lock()
 	defer s.freeMu.Unlock()
 	return s.freeBytes < s.options.ReserveBytes/2+uint64(bytes)
 }
 
-// recordWritten takes bytes off the free space until it is read again.
+// recordWritten subtracts written bytes from the free space until that is read again.
 func (s *Store) recordWritten(bytes int64) {
 	s.freeMu.Lock()
 	defer s.freeMu.Unlock()
@@ -125,10 +125,10 @@
 	s.writeFailedAt = time.Now()
 }
 
-// errNoSpace is the system's error for a full disk.
+// errNoSpace is the operating system's error for a full disk.
 var errNoSpace error = syscall.ENOSPC
 
-// wrapNoSpace turns the system's error for a full disk into an ErrFull.
+// wrapNoSpace converts the operating system's error for a full disk to an ErrFull.
 func wrapNoSpace(err error) error {
 	if errors.Is(err, errNoSpace) {
 		return fmt.Errorf("%w: %v", ErrFull, err)
--- a/internal/outputs/disk/store.go
+++ b/internal/outputs/disk/store.go
@@ -15,8 +15,8 @@
 	pb "reedtrack/internal/outputs/outputsv1"
 )
 
-// Errors that say why entries were refused. After any other error of [Store.Put]
-// nothing is known of what became of the entries; they may be put again.
+// Errors by which entries are refused. After any other error of [Store.Put] it is unknown
+// whether the entries were stored; they may be put again.
 var (
 	ErrFull     = errors.New("the store's disk is full")
 	ErrBusy     = errors.New("too much is being written")
@@ -27,28 +27,28 @@
 
 // Defaults of [Options].
 const (
-	defaultSegmentBytes       = 64 << 20 // few files, and compaction needs little free space
-	defaultMaxQueueBytes      = 64 << 20 // what a burst may take of memory
+	defaultSegmentBytes       = 64 << 20 // keeps the number of files low, and compaction needs little free space
+	defaultMaxQueueBytes      = 64 << 20 // limits the memory used by a burst
 	defaultCheckpointInterval = time.Second
 	defaultCompactionDelay    = time.Minute
 	defaultOrphanRetention    = 24 * time.Hour
 )
 
-// maxQueuedRequests bounds the requests that wait for the writer, beside their bytes.
+// maxQueuedRequests limits the number of queued requests, in addition to the limit on
+// their bytes.
 const maxQueuedRequests = 4096
 
-// Options say where and how a store keeps outputs. Zero values are replaced by
-// defaults.
+// Options configure a store. Zero values are replaced by defaults.
 type Options struct {
 	Dir                string
-	FS                 FS            // default: the system's
-	SegmentBytes       int64         // a segment is ended at this size
-	MaxBytes           uint64        // of all segments; 0: no bound
-	ReserveBytes       uint64        // of the disk that stay free, so that the index can go on
-	CheckpointInterval time.Duration // between two checkpoints of the index
-	MaxQueueBytes      int64         // that wait to be written
-	CompactionDelay    time.Duration // from the end of a segment until it may be compacted
-	OrphanRetention    time.Duration // for how long a chunk is kept that no attempt names
+	FS                 FS            // default: the operating system's
+	SegmentBytes       int64         // size at which a segment is ended
+	MaxBytes           uint64        // limit for all segments; 0: no limit
+	ReserveBytes       uint64        // disk space kept free, so that the index can still be written
+	CheckpointInterval time.Duration // time between two checkpoints of the index
+	MaxQueueBytes      int64         // limit for queued requests
+	CompactionDelay    time.Duration // minimum time from the end of a segment to its compaction
+	OrphanRetention    time.Duration // how long an unreferenced chunk is kept
 	Now                func() time.Time
 }
 
@@ -73,49 +73,49 @@
 	}
 }
 
-// Store is an open data directory. Its methods may be called from any goroutine.
+// Store is an open data directory. It is safe for concurrent use.
 type Store struct {
 	options Options
 	fs      FS
 	db      *bbolt.DB
 
-	// indexMu is held by whoever changes the index; it comes before mu.
+	// indexMu is held while the index is changed; it is acquired before mu.
 	indexMu sync.Mutex
 
 	mu              sync.Mutex
-	attempts        map[string]*attempt     // by key: those that the index lags behind, and those in use
-	dirtyAttempts   map[string]*attempt     // by key: of them, those that the index lags behind
-	lastEvictionAt  time.Time               // when attempts not in use were last let go
-	newChunks       map[string]*pb.Place    // by chunk key: those that the index does not have
-	lostChunks      map[string]*pb.Place    // by chunk key: found damaged, and still in the index
-	segments        map[uint32]*segmentInfo // all
-	teamBytes       map[string]uint64       // on disk
-	dirtyTeams      map[string]bool         // changed since the last checkpoint
-	position        *pb.Position            // up to where entries are applied
+	attempts        map[string]*attempt     // by key: those that are newer than the index, and those in use
+	dirtyAttempts   map[string]*attempt     // by key: the subset that is newer than the index
+	lastEvictionAt  time.Time               // time of the last eviction of unused attempts
+	newChunks       map[string]*pb.Place    // by chunk key: not in the index yet
+	lostChunks      map[string]*pb.Place    // by chunk key: found damaged, but still in the index
+	segments        map[uint32]*segmentInfo // all segments, by ID
+	teamBytes       map[string]uint64       // disk space used, by team
+	dirtyTeams      map[string]bool         // teams whose teamBytes changed since the last checkpoint
+	position        *pb.Position            // end of the entries applied so far
 	nextSegment     uint32
-	missingSegments map[uint32]bool // that the index names and that are not there
-	segmentBytes    uint64          // of all segments
-	damagedEntries  uint64          // found since the start
-	version         uint64          // grows with each change
+	missingSegments map[uint32]bool // referenced by the index, but without a file
+	segmentBytes    uint64          // total size of the segments
+	damagedEntries  uint64          // found since the store was opened
+	version         uint64          // incremented at each change
 	closed          bool
 	queuedBytes     int64
 
-	active     *segment // the segment being written; only the writer uses it
-	activeSize int64    // likewise
+	active     *segment // the segment being written; used by the writer only
+	activeSize int64    // size of active; used by the writer only
 
 	queue       chan *putRequest
 	unpackSlots chan struct{}
-	done        chan struct{} // closed when the store ends
+	done        chan struct{} // closed when the store is closed
 	wg          sync.WaitGroup
 
 	freeMu        sync.Mutex
-	freeBytes     uint64 // as last read, less what was written since
+	freeBytes     uint64 // last reading, less what was written since
 	freeReadAt    time.Time
 	writeFailedAt time.Time
 }
 
-// Open opens a data directory, which is made if need be, and recovers what was written
-// before: what the index covers, and from there on what the segments hold.
+// Open opens a data directory, creating it if necessary, and recovers its state from the
+// index and from the segments beyond the index's position.
 func Open(options Options) (*Store, error) {
 	options.setDefaults()
 	if err := os.MkdirAll(options.Dir, 0o750); err != nil {
@@ -151,7 +151,7 @@
 	return s, nil
 }
 
-// Close writes a last checkpoint and closes the store. Requests that wait get
+// Close writes a last checkpoint and closes the store. Queued requests fail with
 // ErrClosed.
 func (s *Store) Close() error {
 	s.mu.Lock()
@@ -168,8 +168,8 @@
 	return err
 }
 
-// Kill ends the store as the end of its process would: without a checkpoint. It is
-// for tests.
+// Kill closes the store without a checkpoint, as a crash of the process would. It is for
+// tests.
 func (s *Store) Kill() {
 	s.mu.Lock()
 	s.closed = true
@@ -191,14 +191,14 @@
 // Dir returns the data directory.
 func (s *Store) Dir() string { return filepath.Clean(s.options.Dir) }
 
-// Version grows with each change of what is held.
+// Version returns a number that increases with each change of the stored data.
 func (s *Store) Version() uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.version
 }
 
-// checkpointLoop keeps the index close to the segments.
+// checkpointLoop makes checkpoints periodically.
 func (s *Store) checkpointLoop() {
 	tick := time.NewTicker(s.options.CheckpointInterval)
 	defer tick.Stop()
--- a/internal/outputs/framing/framing.go
+++ b/internal/outputs/framing/framing.go
@@ -1,11 +1,11 @@
-// Package framing writes records into files so that torn and damaged ones are found
-// when they are read back.
+// Package framing encodes records in files so that torn and damaged ones are detected when
+// they are read back.
 //
-// A frame is a header and a body. The header holds, little-endian and of four bytes
-// each, [Magic], the length of the body, and a CRC-32C of length and body. A writer
-// calls [BeginFrame], appends the body to the buffer, and calls [EndFrame]; several
-// frames may stand in one buffer. [Scan] reads a file back and resumes after damage
-// at the next frame whose checksum is right.
+// A frame is a header and a body. The header holds three little-endian 32-bit fields:
+// [Magic], the length of the body, and a CRC-32C of the length and the body. A writer
+// calls [BeginFrame], appends the body to the buffer, and calls [EndFrame]; a buffer may
+// hold several frames. [Scan] reads a file back and resumes after damage at the next frame
+// with a valid checksum.
 package framing
 
 import (
@@ -17,16 +17,17 @@
 )
 
 const (
-	// Magic begins a frame. It is neither text nor zeroes, which unwritten parts of
-	// a file hold.
+	// Magic starts a frame. It is neither text nor zeroes, which unwritten parts of a file
+	// hold.
 	Magic = 0x9d5b74e1
-	// HeaderSize is what a frame takes besides its body, in bytes.
+	// HeaderSize is the size of a frame without its body, in bytes.
 	HeaderSize = 12
-	// MaxBodySize bounds a body, so that a damaged length is found out and not read.
+	// MaxBodySize limits the size of a body, so that a damaged length is detected rather
+	// than read.
 	MaxBodySize = 8 << 20
 )
 
-// Where the fields of a header begin.
+// Offsets of the header fields.
 const (
 	lengthOffset   = 4
 	checksumOffset = 8
@@ -34,15 +35,16 @@
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// ErrDamaged says that no frame begins here, or that it is not what was written.
+// ErrDamaged means that there is no frame at an offset, or that its content is not what
+// was written.
 var ErrDamaged = errors.New("damaged on disk")
 
-// BeginFrame appends room for a header to a buffer. The body is appended next, and
-// EndFrame fills the header in.
+// BeginFrame appends space for a header to a buffer. The caller appends the body next and
+// calls EndFrame to fill in the header.
 func BeginFrame(buffer []byte) []byte { return append(buffer, make([]byte, HeaderSize)...) }
 
-// EndFrame fills in the header of the frame that begins at start in a buffer and
-// whose body goes to the buffer's end.
+// EndFrame fills in the header of the frame that starts at start and extends to the end of
+// the buffer.
 func EndFrame(buffer []byte, start int) {
 	frame := buffer[start:]
 	binary.LittleEndian.PutUint32(frame, Magic)
@@ -54,10 +56,9 @@
 	return crc32.Update(crc32.Checksum(length, castagnoli), castagnoli, body)
 }
 
-// DecodeFrame returns the body of the frame at the beginning of a buffer and the
-// length of the frame. The error is io.ErrUnexpectedEOF if the buffer ends before
-// the frame does; the length is then that of the frame, or 0 if the header is not
-// complete either.
+// DecodeFrame returns the body of the frame at the start of a buffer and the length of the
+// frame. The error is io.ErrUnexpectedEOF if the buffer ends before the frame does; the
+// length is then that of the frame, or 0 if the header is incomplete too.
 func DecodeFrame(buffer []byte) (body []byte, length int, err error) {
 	if len(buffer) < HeaderSize {
 		return nil, 0, io.ErrUnexpectedEOF
@@ -77,9 +78,9 @@
 	return body, length, nil
 }
 
-// FindMagic returns where in a buffer the next frame may begin: at Magic, or at the
-// beginning of one that the buffer's end cuts off. Without either it is the
-// buffer's length.
+// FindMagic returns the offset in a buffer at which the next frame may start: that of
+// Magic, or of a first byte of Magic that is cut off by the end of the buffer. If there is
+// neither, it returns the buffer's length.
 func FindMagic(buffer []byte) int {
 	const firstByte = byte(Magic & 0xff)
 	for i := range buffer {
@@ -91,22 +92,22 @@
 	return len(buffer)
 }
 
-// Range is a part of a file, from one offset up to another.
+// Range is a range of file offsets, [From, To).
 type Range struct{ From, To int64 }
 
-// Scan reads the frames of a file of a size from an offset on. It passes over what
-// is damaged and resumes at the next frame that is not. visit gets the body, which
-// it must not keep, and where the frame begins and how long it is. It may return
-// ErrDamaged for a body that makes no sense; any other error ends the scan.
+// Scan reads the frames of a file from an offset up to size. It skips damaged data and
+// resumes at the next intact frame. visit is called with the body, which it must not
+// retain, the offset of the frame and its length. It may return ErrDamaged for a body that
+// can't be decoded; any other error ends the scan.
 //
-// Scan returns the end of the last good frame, beyond which a write was torn, and
-// what was damaged before it.
+// Scan returns the end of the last intact frame, after which a write was torn, and the
+// damaged ranges before it.
 func Scan(file io.ReaderAt, from, size int64, visit func(body []byte, offset int64, length int) error) (end int64, damaged []Range, err error) {
 	buffer := scanBuffers.Get().(*[]byte)
 	defer scanBuffers.Put(buffer)
 	s := &scanner{file: file, size: size, buffer: buffer, offset: from}
 	const intact = -1
-	damagedFrom := int64(intact) // where the damage began that is being passed over
+	damagedFrom := int64(intact) // start of the damaged range being skipped
 	end = from
 	for s.offset < size {
 		body, length, err := s.next()
@@ -133,27 +134,27 @@
 	return end, damaged, nil
 }
 
-// minReadSize is how much a scan reads at once, at least: frames are mostly much
-// smaller, and one read then brings many.
+// minReadSize is the minimum size of a read. Frames are mostly much smaller, so that one
+// read returns many.
 const minReadSize = 256 << 10
 
-// scanBuffers are reused, as a store scans many files one after the other.
+// scanBuffers are reused because a store scans many files one after the other.
 var scanBuffers = sync.Pool{New: func() any {
 	buffer := make([]byte, minReadSize)
 	return &buffer
 }}
 
-// scanner reads a file in large pieces.
+// scanner reads a file in large blocks.
 type scanner struct {
 	file   io.ReaderAt
 	size   int64
 	buffer *[]byte
-	offset int64  // where the scan is in the file
-	data   []byte // what has been read from offset on, in buffer
+	offset int64  // current file offset
+	data   []byte // data read from offset on; a slice of buffer
 }
 
-// next returns the frame at the scanner's offset. ErrDamaged stands also for a
-// frame that the end of the file cuts off.
+// next returns the frame at the current offset. It returns ErrDamaged also for a frame
+// that is cut off by the end of the file.
 func (s *scanner) next() (body []byte, length int, err error) {
 	if err := s.fill(HeaderSize); err != nil {
 		return nil, 0, err
@@ -172,7 +173,7 @@
 	return body, length, nil
 }
 
-// fill reads until there are so many bytes from the offset on, or the file ends.
+// fill reads until want bytes are available from the current offset, or the file ends.
 func (s *scanner) fill(want int) error {
 	if len(s.data) >= want {
 		return nil
@@ -189,8 +190,8 @@
 	return nil
 }
 
-// skipToMagic goes on to where the next frame may begin. Magic may also stand in
-// the data by chance: the checksum tells.
+// skipToMagic advances to the next possible start of a frame. Magic may also occur in the
+// data by chance; the checksum detects that.
 func (s *scanner) skipToMagic() {
 	skip := 1
 	if len(s.data) > 1 {
--- a/internal/outputs/framing/framing_test.go
+++ b/internal/outputs/framing/framing_test.go
@@ -25,12 +25,12 @@
 		damaged := bytes.Clone(frame)
 		damaged[i] ^= 1
 		if _, _, err := DecodeFrame(damaged); err == nil {
-			t.Errorf("a changed bit in byte %d was not found", i)
+			t.Errorf("a changed bit in byte %d was not detected", i)
 		}
 	}
 }
 
-// failingReader can't be read beyond an offset.
+// failingReader fails reads at or beyond an offset.
 type failingReader struct {
 	io.ReaderAt
 	limit int64
@@ -54,8 +54,8 @@
 	}
 }
 
-// Whatever stands between them, intact frames are found where they stand, and
-// nothing else is taken for one. Run for longer with go test -fuzz FuzzScan.
+// Intact frames are found among arbitrary data, and nothing else is taken for a frame. Run
+// for longer with go test -fuzz FuzzScan.
 func FuzzScan(f *testing.F) {
 	magic := []byte{0xe1, 0x74, 0x5b, 0x9d}
 	f.Add([]byte{}, []byte("torn"), []byte("body"), uint16(0))
@@ -70,12 +70,12 @@
 		second := len(file)
 		file = append(file, frame...)
 		last := len(file)
-		file = append(file, frame[:int(cut)%len(frame)]...) // a write that was torn
+		file = append(file, frame[:int(cut)%len(frame)]...) // a torn write
 		found := map[int]bool{}
 		end, bad, err := Scan(bytes.NewReader(file), 0, int64(len(file)), func(got []byte, at int64, n int) error {
 			whole, m, err := DecodeFrame(file[at:])
 			if err != nil || m != n || !bytes.Equal(whole, got) {
-				t.Fatalf("a frame of %d bytes at %d, where there is none", n, at)
+				t.Fatalf("Scan reported a frame of %d bytes at %d that DecodeFrame does not find", n, at)
 			}
 			found[int(at)] = true
 			return nil
@@ -83,7 +83,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		// What is before or between may itself hold a frame that reaches over one.
+		// The data before or between the frames may itself contain a frame that overlaps
+		// one of them.
 		if len(found) == 2 && (!found[first] || !found[second]) || len(found) < 2 && !overlaps(file, first, second) {
 			t.Fatalf("found %v, not %d and %d", found, first, second)
 		}
@@ -96,7 +97,7 @@
 	})
 }
 
-// overlaps reports whether a frame begins elsewhere than at the two offsets.
+// overlaps reports whether a frame starts at an offset other than the two given.
 func overlaps(file []byte, first, second int) bool {
 	for at := range file {
 		if _, _, err := DecodeFrame(file[at:]); err == nil && at != first && at != second {
--- a/internal/outputs/spool/doc.go
+++ b/internal/outputs/spool/doc.go
@@ -1,17 +1,18 @@
-// Package spool buffers what a task writes on the worker's disk until a store has it.
-// The buffer is bounded, and can be read after its process was killed at any moment.
+// Package spool buffers the output of a task on the worker's disk until a store has it.
+// The buffer is bounded, and stays readable if its process is killed at any moment.
 //
-// A spool is a directory of files of frames (see package framing), one record each.
-// Records have no numbers in them: a file's name has the number of its first record,
-// and the others follow.
+// A spool is a directory of files, each a sequence of frames (see package framing) with
+// one record per frame. Sequence numbers are not stored with the records: the name of a
+// file holds the sequence number of its first record, and the others follow.
 //
-//	q-NUMBER-FIRST-KIND  the queue, in the order of NUMBER
-//	t-EPISODE-NUMBER     the tail, while there is one
-//	lock                 held by the process that has the spool open
+//	q-NUMBER-FIRST-KIND  files of the queue, ordered by NUMBER
+//	t-EPISODE-NUMBER     files of the tail, while there is one; EPISODE counts the tails
+//	lock                 locked by the process that has the spool open
 //
-// What does not fit into the queue for now goes to a tail, so that the end of the
-// output is kept rather than its middle. The tail is two files: when the newer is full
-// the older is removed. When the tail ends, its files join the queue. Each file of a
-// tail begins with a gap record that counts what was removed before it, so that the
-// gap is known even if the process is killed; in the queue only the first one counts.
+// Records that do not fit into the queue are written to a tail, so that the end of the
+// output is kept rather than its middle. A tail has two files: when the newer one is
+// full, the older one is removed. When the tail ends, its files are moved to the queue.
+// Each tail file begins with a gap record that counts the records removed before it, so
+// that the gap is known even if the process is killed. In the queue only the gap record
+// of the tail's first file counts.
 package spool
--- a/internal/outputs/spool/file.go
+++ b/internal/outputs/spool/file.go
@@ -12,47 +12,48 @@
 	pb "reedtrack/internal/outputs/outputsv1"
 )
 
-// Kinds of a file of the queue, as its name has them.
+// Kinds of queue files, as encoded in their names.
 const (
-	kindPlain     = "p" // records that were added to the queue
-	kindGap       = "g" // the first file of a tail: its gap counts, unless it is empty
-	kindContinued = "i" // the second file of a tail: its gap does not count
+	kindPlain     = "p" // records added to the queue directly
+	kindGap       = "g" // the first file of a tail: its gap record counts unless it is empty
+	kindContinued = "i" // the second file of a tail: its gap record does not count
 )
 
-// recordOverhead is what Read counts for a record beside its data.
+// recordOverhead is the size that Read counts for a record in addition to its data.
 const recordOverhead = 32
 
-// reasonLost is the reason of a gap for records that were damaged on disk.
+// reasonLost is the reason of a gap that replaces records damaged on disk.
 const reasonLost = "lost"
 
-// file is a file of the queue or of the tail. Spool.mu guards it, but for readSeq and
+// file is a file of the queue or of the tail. Spool.mu guards it, except for readSeq and
 // readOffset, which only the reader uses.
 type file struct {
 	handle *os.File
 	name   string
-	kind   string // of the queue
-	first  uint64 // number of the first record
-	count  uint64 // records, with a gap that counts
+	kind   string // for queue files
+	first  uint64 // sequence number of the first record
+	count  uint64 // number of records, including a gap record that counts
 	size   int64
 	tally  *pb.Tally
-	// gapBefore is what was removed before a file of a tail; nil: it does not count.
+	// gapBefore counts the records removed before a tail file; nil if the gap does not
+	// count.
 	gapBefore *pb.Gap
 
-	readSeq    uint64 // the number after the record that was read last,
-	readOffset int64  // and where that ends; 0: not known
+	readSeq    uint64 // sequence number after the last record read
+	readOffset int64  // offset at which that record ends; 0 if unknown
 }
 
-// end returns the number after the last record.
+// end returns the sequence number after the last record.
 func (f *file) end() uint64 { return f.first + f.count }
 
-// isGapSkipped reports whether the gap record at the file's beginning does not count.
+// isGapSkipped reports whether the gap record at the start of the file does not count.
 func (f *file) isGapSkipped() bool {
 	return f.kind == kindContinued || f.kind == kindGap && isEmptyGap(f.gapBefore)
 }
 
-// read reads records from a number on until their data come to maxBytes, in a file
-// that has records up to end and is size bytes long. Records that are damaged are
-// replaced by gaps, so that the numbers of what follows stay.
+// read reads records from a sequence number until their size reaches maxBytes, from a file
+// that has records up to end and is size bytes long. Damaged records are replaced by gaps,
+// so that the numbering of later records is kept.
 func (f *file) read(from, end uint64, size int64, maxBytes int) ([]*pb.Record, error) {
 	var records []*pb.Record
 	bytes, seq, start := 0, f.first, int64(0)
@@ -86,15 +87,15 @@
 		return nil, err
 	}
 	if len(bad) > 0 {
-		f.readOffset = 0 // records were numbered across what is damaged
+		f.readOffset = 0 // the numbers of records after the damage are not reliable
 	}
-	if err == nil { // read to the end: what is missing there was damaged
+	if err == nil { // read to the end: records missing there were damaged
 		records = append(records, lostRecords(max(seq, from), end)...)
 	}
 	return records, nil
 }
 
-// lostRecords returns gaps in place of records that can't be read.
+// lostRecords returns gap records in place of unreadable records.
 func lostRecords(from, end uint64) []*pb.Record {
 	var records []*pb.Record
 	for seq := from; seq < end; seq++ {
@@ -104,8 +105,8 @@
 	return records
 }
 
-// scan reads a file through to find its size without what was written in part, its
-// records and its gap.
+// scan reads a file to determine its size without a torn write, its number of records and
+// its gap.
 func (f *file) scan() error {
 	info, err := f.handle.Stat()
 	if err != nil {
--- a/internal/outputs/spool/recover.go
+++ b/internal/outputs/spool/recover.go
@@ -10,7 +10,7 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// recover takes over what an earlier process has left. A tail that was open joins the
+// recover loads the files left by an earlier process. A tail that was open is moved to the
 // queue.
 func (s *Spool) recover() error {
 	entries, err := os.ReadDir(s.dir)
@@ -47,8 +47,8 @@
 			return err
 		}
 		if i+1 < len(names) {
-			// The name of the next file tells how many records there were, also those
-			// that are damaged.
+			// The name of the next file gives the number of records, including damaged
+			// ones.
 			var nextFirst uint64
 			if _, err := fmt.Sscanf(names[i+1], "q-%d-%d", new(int), &nextFirst); err == nil && nextFirst >= f.first {
 				f.count = nextFirst - f.first
@@ -62,7 +62,7 @@
 	return nil
 }
 
-// tailName is what the name of a tail's file says.
+// tailName is the parsed name of a tail file.
 type tailName struct {
 	name            string
 	episode, number int
@@ -88,7 +88,7 @@
 			return err
 		}
 		s.episode = n.episode
-		if f.gapBefore == nil { // killed before its gap was written
+		if f.gapBefore == nil { // the process was killed before the gap was written
 			f.handle.Close()
 			os.Remove(s.path(n.name))
 			continue
@@ -111,9 +111,9 @@
 	return err
 }
 
-// isSecondFile reports whether the first half of a tail's file has joined the queue
-// already, because the process was killed in between: then the file's gap counts what
-// that one holds.
+// isSecondFile reports whether the first file of the tail was already moved to the queue,
+// because the process was killed between the two moves. The gap of the second file then
+// counts the records of that file, which are still there.
 func (s *Spool) isSecondFile(f *file) bool {
 	if len(s.files) == 0 {
 		return false
--- a/internal/outputs/spool/spool.go
+++ b/internal/outputs/spool/spool.go
@@ -16,47 +16,48 @@
 )
 
 const (
-	// maxQueueFileBytes is how large a file of the queue gets. Acknowledged records
-	// are freed a file at a time.
+	// maxQueueFileBytes is the maximum size of a queue file. Acknowledged records are
+	// freed one file at a time.
 	maxQueueFileBytes = 4 << 20
-	// minQueueFiles is into how many files a small queue is divided, so that freeing
-	// one makes room.
+	// minQueueFiles is the number of files into which a small queue is divided, so that
+	// removing one frees space.
 	minQueueFiles = 4
-	// minQueueBytes holds a record of the largest size, whatever the configuration.
+	// minQueueBytes is the minimum size of the queue: a record of the largest size fits,
+	// whatever the configuration.
 	minQueueBytes = 64 << 10
 )
 
 var (
-	// ErrFull says that a record does not fit into the queue.
+	// ErrFull means that a record does not fit into the queue.
 	ErrFull = errors.New("the spool is full")
-	// ErrInUse says that another process has the spool open.
+	// ErrInUse means that another process has the spool open.
 	ErrInUse = errors.New("a capture runs on this spool")
 )
 
-// Spool is the buffer of one attempt's records. One goroutine may add to it while
-// another reads and acknowledges.
+// Spool buffers the records of one attempt. One goroutine may add records while another
+// reads and acknowledges them.
 type Spool struct {
 	dir           string
-	maxBytes      int64 // of the queue
-	fileBytes     int64 // of one file of the queue, after which the next is begun
-	tailFileBytes int64 // of each of the two files of a tail
+	maxBytes      int64 // limit for the queue
+	fileBytes     int64 // size of a queue file at which the next is started
+	tailFileBytes int64 // limit for each of the two tail files
 	lock          *os.File
 
 	mu         sync.Mutex
-	files      []*file // of the queue; only the last one may be written
-	size       int64   // of files
-	next       uint64  // the number of the next record
-	nextNumber int     // of a file of the queue
-	episode    int     // number of the last tail
-	tailFiles  []*file // of the tail; none: there is no tail
-	tailReason string  // of its gap
+	files      []*file // queue files; only the last may be appended to
+	size       int64   // total size of files
+	next       uint64  // sequence number of the next record
+	nextNumber int     // number of the next queue file
+	episode    int     // number of the current or last tail
+	tailFiles  []*file // empty if there is no tail
+	tailReason string  // reason of the tail's gap
 	evicted    pb.Gap  // records removed from the tail
-	lost       pb.Gap  // records that could not be written at all
+	lost       pb.Gap  // records that could not be written
 }
 
-// Open opens a spool's directory, which is made if need be. It may hold maxBytes, of
-// which a tail gets two files of tailBytes each. What an earlier process has left is
-// kept, without a record that was written in part.
+// Open opens a spool directory, creating it if necessary. The spool may use maxBytes,
+// including two tail files of tailBytes each. Records left by an earlier process are kept,
+// except for a torn one.
 func Open(dir string, maxBytes, tailBytes int64) (*Spool, error) {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, err
@@ -84,7 +85,7 @@
 	return s, nil
 }
 
-// Close closes the files and unlocks the spool. What it holds stays.
+// Close closes the files and unlocks the spool. Its content is kept.
 func (s *Spool) Close() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -97,14 +98,14 @@
 // Dir returns the spool's directory.
 func (s *Spool) Dir() string { return s.dir }
 
-// Next returns the number that the next record gets, and the bytes in the queue.
+// Next returns the sequence number of the next record and the size of the queue in bytes.
 func (s *Spool) Next() (seq uint64, bytes int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.next, s.size
 }
 
-// First returns the number of the first record that is still there.
+// First returns the sequence number of the oldest record in the queue.
 func (s *Spool) First() (seq uint64, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -114,15 +115,15 @@
 	return s.files[0].first, true
 }
 
-// Fits reports whether bytes more fit into the queue.
+// Fits reports whether a number of bytes still fits into the queue.
 func (s *Spool) Fits(bytes int64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.size+bytes <= s.maxBytes
 }
 
-// Add adds a record to the queue. The error is ErrFull if it does not fit; others are
-// the disk's.
+// Add adds a record to the queue. It returns ErrFull if the record does not fit; other
+// errors come from the disk.
 func (s *Spool) Add(r *pb.Record) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -143,7 +144,7 @@
 		return err
 	}
 	if _, err := f.handle.WriteAt(frame, f.size); err != nil {
-		return err // what was written in part is overwritten by the next record
+		return err // a partial write is overwritten by the next record
 	}
 	f.size += int64(len(frame))
 	f.count++
@@ -152,7 +153,7 @@
 	return nil
 }
 
-// openFile returns the file of the queue to write to.
+// openFile returns the queue file to append to, creating it if necessary.
 func (s *Spool) openFile() (*file, error) {
 	if n := len(s.files); n > 0 {
 		if last := s.files[n-1]; last.kind == kindPlain && last.size < s.fileBytes {
@@ -176,8 +177,8 @@
 
 func (s *Spool) path(name string) string { return filepath.Join(s.dir, name) }
 
-// Read returns records from a number on, until their data come to maxBytes; none:
-// there are no more yet.
+// Read returns records from a sequence number until their size reaches maxBytes. It
+// returns none if there are no more yet.
 func (s *Spool) Read(from uint64, maxBytes int) ([]*pb.Record, error) {
 	f, end, size := s.fileOf(from)
 	if f == nil {
@@ -186,7 +187,7 @@
 	return f.read(from, end, size, maxBytes)
 }
 
-// fileOf returns the file that holds a record, and its end and size as they are now.
+// fileOf returns the file that holds a record, with its current end and size.
 func (s *Spool) fileOf(seq uint64) (f *file, end uint64, size int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -198,7 +199,7 @@
 	return nil, 0, 0
 }
 
-// Ack frees the records before a number, a file at a time: the store has them.
+// Ack frees the acknowledged records before a sequence number, one file at a time.
 func (s *Spool) Ack(before uint64) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -218,7 +219,7 @@
 	return nil
 }
 
-// encodeFrame returns a record as it stands in a file.
+// encodeFrame encodes a record as a frame.
 func encodeFrame(r *pb.Record) ([]byte, error) {
 	frame, err := proto.MarshalOptions{}.MarshalAppend(framing.BeginFrame(nil), r)
 	if err != nil {
--- a/internal/outputs/spool/spool_test.go
+++ b/internal/outputs/spool/spool_test.go
@@ -19,7 +19,7 @@
 	return &pb.Record{AtNs: int64(i + 1), Stream: pb.Stream_STREAM_STDOUT, Data: fmt.Appendf(nil, "line %06d\n", i)}
 }
 
-// readAll reads everything from a number on.
+// readAll reads all records from a sequence number on.
 func readAll(t *testing.T, s *Spool, from uint64) []*pb.Record {
 	t.Helper()
 	var out []*pb.Record
@@ -41,8 +41,8 @@
 	}
 }
 
-// checkAccounted checks that lines, and gaps that say how many are missing, make up 0 to
-// n in order, and returns how many lines there are.
+// checkAccounted checks that lines, and gaps that count the missing ones, make up the
+// lines 0 to n-1 in order, and returns the number of lines.
 func checkAccounted(t *testing.T, list []*pb.Record, n int) int {
 	t.Helper()
 	next, lines := 0, 0
@@ -59,7 +59,7 @@
 			continue
 		}
 		if want := testLine(next); !bytes.Equal(r.Data, want.Data) {
-			t.Fatalf("%q where %q comes next", r.Data, want.Data)
+			t.Fatalf("got line %q, want %q", r.Data, want.Data)
 		}
 		next++
 		lines++
@@ -70,8 +70,8 @@
 	return lines
 }
 
-// Whatever is added to the queue or the tail and acknowledged, and wherever the process
-// is killed: each line comes once and in order, or a gap counts it.
+// Random sequences of writes to the queue and the tail, acknowledgements and process
+// kills: each line comes exactly once and in order, or is counted by a gap.
 func TestSpoolAccountsForEveryLine(t *testing.T) {
 	for seed := range uint64(150) {
 		rnd := rand.New(rand.NewPCG(seed, 3))
@@ -109,7 +109,7 @@
 				if err := s.Ack(acked); err != nil {
 					t.Fatal(err)
 				}
-			case k < 17 && rnd.IntN(6) == 0: // killed; the next process goes on
+			case k < 17 && rnd.IntN(6) == 0: // the process is killed and restarted
 				s.Close()
 				if s, err = Open(dir, 6000, 600); err != nil {
 					t.Fatal(err)
@@ -123,8 +123,8 @@
 	}
 }
 
-// A process killed in the middle of a write leaves a torn record: what stands before it
-// is there, and nothing else. New records follow.
+// A process killed in the middle of a write leaves a torn record. All records before it
+// are kept, and new records can be added.
 func TestSpoolAfterTornWrite(t *testing.T) {
 	for cut := range 40 {
 		t.Run(fmt.Sprintf("%d bytes", cut), func(t *testing.T) {
@@ -153,13 +153,13 @@
 			}
 			list := readAll(t, s, 0)
 			if !bytes.Equal(list[len(list)-1].Data, testLine(99).Data) {
-				t.Fatal("the record added afterwards is not there")
+				t.Fatal("the record added after the torn write is missing")
 			}
 		})
 	}
 }
 
-// A damaged record is replaced by a gap, and what follows it is there.
+// A damaged record is replaced by a gap, and the records after it are kept.
 func TestSpoolAfterDamage(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "s")
 	s, err := Open(dir, 40000, 1000)
@@ -191,7 +191,7 @@
 	}
 }
 
-// Only one process can open a spool, and its bound holds on the disk.
+// Only one process can open a spool, and its size limit holds on disk.
 func TestSpoolIsLockedAndBounded(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "s")
 	s, err := Open(dir, 200<<10, 20<<10)
@@ -221,8 +221,8 @@
 	}
 }
 
-// A process killed while a tail joins the queue leaves half of it there: each line is
-// still accounted for once.
+// A process killed while a tail is moved to the queue leaves only half of it there: each
+// line is still accounted for once.
 func TestSpoolKilledWhileTailEnds(t *testing.T) {
 	for _, tailLines := range []int{5, 60, 200} {
 		t.Run(fmt.Sprintf("%d lines", tailLines), func(t *testing.T) {
--- a/internal/outputs/spool/tail.go
+++ b/internal/outputs/spool/tail.go
@@ -11,18 +11,19 @@
 	pb "reedtrack/internal/outputs/outputsv1"
 )
 
-// tailFileCount is how many files a tail has at most: when there is one more, the
-// oldest is removed.
+// tailFileCount is the maximum number of tail files. The oldest is removed when another is
+// needed.
 const tailFileCount = 2
 
-// gapFrameOverhead is room for the fields of a gap record around its body.
+// gapFrameOverhead allows for the frame header and the record fields around the body of a
+// gap.
 const gapFrameOverhead = 64
 
 // reasonSpool is the reason of a gap for records that the spool could not write.
 const reasonSpool = "spool"
 
-// AddToTail adds a record to the tail, which begins with it if there is none. The
-// reason is that of its gap, and counts when the tail begins.
+// AddToTail adds a record to the tail, starting one if there is none. The reason is that
+// of the tail's gap and is only used when the tail starts.
 func (s *Spool) AddToTail(r *pb.Record, reason string) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -52,7 +53,7 @@
 	return nil
 }
 
-// Tail reports whether there is a tail, and the bytes in it.
+// Tail reports whether there is a tail, and its size in bytes.
 func (s *Spool) Tail() (exists bool, bytes int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -62,15 +63,15 @@
 	return len(s.tailFiles) > 0, bytes
 }
 
-// EndTail ends the tail: what is left of it joins the queue.
+// EndTail ends the tail and moves the remaining records to the queue.
 func (s *Spool) EndTail() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.endTail()
 }
 
-// rotateTail begins the tail's next file, and removes the oldest if there are too
-// many. now is the time of the gap. The caller holds mu.
+// rotateTail starts the next tail file and removes the oldest if there are too many. now
+// is the time of the gap record. The caller holds mu.
 func (s *Spool) rotateTail(now int64) error {
 	if len(s.tailFiles) == tailFileCount {
 		oldest := s.tailFiles[0]
@@ -85,7 +86,7 @@
 	if len(s.tailFiles) > 0 {
 		before := s.tailFiles[0]
 		fmt.Sscanf(before.name, "t-%d-%d", new(int), &number)
-		addToGap(gap, before.tally) // for when that one is removed too
+		addToGap(gap, before.tally) // counts if that file is removed too
 	}
 	name := tailFileName(s.episode, number+1)
 	handle, err := s.createFile(name)
@@ -102,7 +103,7 @@
 	return nil
 }
 
-// writeGap writes the gap record at the beginning of a file of a tail.
+// writeGap writes the gap record at the start of a tail file.
 func writeGap(f *os.File, gap *pb.Gap, now int64) (size int64, err error) {
 	body, _ := proto.Marshal(gap)
 	frame, err := encodeFrame(&pb.Record{AtNs: now, Stream: pb.Stream_STREAM_GAP, Data: body})
@@ -121,13 +122,13 @@
 		}
 		s.tailFiles = s.tailFiles[1:]
 		if len(s.tailFiles) > 0 {
-			s.tailFiles[0].gapBefore = nil // the file before it is there
+			s.tailFiles[0].gapBefore = nil // the file before it was kept
 		}
 	}
 	return s.addLostGap()
 }
 
-// moveToQueue moves a file of a tail into the queue.
+// moveToQueue moves a tail file to the queue.
 func (s *Spool) moveToQueue(f *file) error {
 	f.kind = kindContinued
 	if f.gapBefore != nil {
@@ -149,7 +150,7 @@
 }
 
 // addLostGap adds a gap for the records that could not be written. It may exceed the
-// bound of the queue.
+// queue's limit.
 func (s *Spool) addLostGap() error {
 	if isEmptyGap(&s.lost) {
 		return nil
@@ -177,7 +178,7 @@
 	g.StderrLines += t.StderrLines
 }
 
-// isEmptyGap reports whether a gap stands for nothing.
+// isEmptyGap reports whether a gap counts no records.
 func isEmptyGap(g *pb.Gap) bool {
 	return !g.Unknown && g.StdoutBytes+g.StderrBytes == 0
 }
