--- a/cmd/reedtrack/daemon.go
+++ b/cmd/reedtrack/daemon.go
@@ -32,9 +32,9 @@
 	// reservedSockets is how many sockets are kept from users and workers at most,
 	// for the services and the other controllers.
 	reservedSockets = 200
-	// slowRequest is how long a request may take to arrive while others find no
+	// requestGracePeriod is how long a request may take to arrive while others find no
 	// socket.
-	slowRequest = time.Second
+	requestGracePeriod = time.Second
 )
 
 type daemonCmd struct{ settingsFlags }
@@ -62,9 +62,9 @@
 	}
 	server := transport.NewServer(coordination.Service{Node: node}, maxUserRequests)
 	if sockets := set.Deployment.Limits.MaxSockets; sockets > 0 {
-		gate := transport.NewConnLimiter(listener, max(sockets*3/4, sockets-reservedSockets), slowRequest)
-		gate.Track(server)
-		listener = gate
+		limiter := transport.NewConnLimiter(listener, max(sockets*3/4, sockets-reservedSockets), requestGracePeriod)
+		limiter.Track(server)
+		listener = limiter
 	}
 	go transport.ServePeers(ctx, peerListener, connsPerPeer*max(1, len(set.Siblings)), node.ReceiveMessage)
 	go server.Serve(listener)
--- a/internal/emulator/kvstore.go
+++ b/internal/emulator/kvstore.go
@@ -14,9 +14,9 @@
 	"reedtrack/internal/protocol"
 )
 
-// conditionsPerWrite bounds a transaction's preconditions: so many for each write
+// preconditionsPerWrite bounds a transaction's preconditions: so many for each write
 // that the limits allow.
-const conditionsPerWrite = 4
+const preconditionsPerWrite = 4
 
 // KVStore emulates the consensus-backed key-value store: keys with revisions,
 // transactions under preconditions, leases, and watches. It is safe for concurrent
@@ -39,7 +39,7 @@
 	leaseOf   map[string]uint64 // key to its lease; 0: none
 	lastLease uint64            // id
 
-	down bool // there is an outage
+	outage bool // there is an outage
 }
 
 // keyLease is a lease that keys can be bound to.
@@ -75,7 +75,7 @@
 func (s *KVStore) SetOutage(down bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.down = down
+	s.outage = down
 	for _, l := range s.leases {
 		l.timer.Stop()
 		if !down {
@@ -131,7 +131,7 @@
 
 // exceededLimit says which limit a transaction of size bytes exceeds; empty: none.
 func (s *KVStore) exceededLimit(t *protocol.Txn, size int) string {
-	if s.maxTxnOps > 0 && (len(t.Writes) > s.maxTxnOps || len(t.Preconditions) > conditionsPerWrite*s.maxTxnOps) {
+	if s.maxTxnOps > 0 && (len(t.Writes) > s.maxTxnOps || len(t.Preconditions) > preconditionsPerWrite*s.maxTxnOps) {
 		return fmt.Sprintf("%d writes under %d conditions", len(t.Writes), len(t.Preconditions))
 	}
 	if size > protocol.MaxBodyBytes {
@@ -176,7 +176,7 @@
 func (s *KVStore) expire(id uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.leases[id] != nil && !s.down {
+	if s.leases[id] != nil && !s.outage {
 		s.revoke(id)
 	}
 }
--- a/internal/emulator/kvstore_handler.go
+++ b/internal/emulator/kvstore_handler.go
@@ -33,7 +33,7 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.down {
+	if s.outage {
 		return http.StatusServiceUnavailable, protocol.ErrorResponse{Error: "trouble"}
 	}
 	switch {
@@ -94,7 +94,7 @@
 	for {
 		s.mu.Lock()
 		found := s.changesSince(prefix, since)
-		changed, down := s.changed, s.down
+		changed, down := s.changed, s.outage
 		s.mu.Unlock()
 		if down {
 			select {
--- a/internal/emulator/runner.go
+++ b/internal/emulator/runner.go
@@ -35,7 +35,7 @@
 	Task    int // index in the job
 	Attempt uint64
 	Machine string
-	Epoch   uint64 // of the worker
+	Session   uint64 // of the worker
 	Command Command
 }
 
@@ -83,7 +83,7 @@
 		"--team", a.Job.Team,
 		"--class", a.Job.Class,
 		"--machine", a.Machine,
-		"--stint", fmt.Sprint(a.Epoch),
+		"--stint", fmt.Sprint(a.Session),
 		"--dir", dir,
 		"--spool", filepath.Join(r.Dir, a.Machine, "spool"),
 		"--to", strings.Join(r.Stores, ","),
--- a/internal/emulator/task.go
+++ b/internal/emulator/task.go
@@ -64,7 +64,7 @@
 			Task:    index,
 			Attempt: o.Attempt,
 			Machine: w.id,
-			Epoch:   w.epoch,
+			Session:   w.session,
 			Command: c,
 		}, ended)
 		return
--- a/internal/emulator/worker.go
+++ b/internal/emulator/worker.go
@@ -35,7 +35,7 @@
 	released bool
 	address  string // where it takes direct commands; empty: nowhere
 
-	epoch, sequence uint64    // of its heartbeats; a new epoch begins without tasks
+	session, sequence uint64    // of its heartbeats; a new epoch begins without tasks
 	fencingToken    uint64    // highest that was accepted
 	lastSent        time.Time // when the last heartbeat that was answered left
 	tasks           map[string]*task
@@ -48,7 +48,7 @@
 		request: request,
 		created: time.Now(),
 		wakeups: make(chan struct{}, 1),
-		epoch:   1,
+		session:   1,
 		tasks:   map[string]*task{},
 	}
 }
@@ -88,7 +88,7 @@
 	}
 	if time.Since(w.lastSent).Seconds() > w.fleet.LeaseS {
 		w.killTasks()
-		w.epoch++
+		w.session++
 		w.lastSent = time.Now()
 	}
 	return w.heartbeat(), true
@@ -100,9 +100,9 @@
 	w.fleet.mu.Lock()
 	defer w.fleet.mu.Unlock()
 	switch {
-	case r.status == http.StatusOK && r.orders.FencingToken >= w.fencingToken:
-		w.fencingToken, w.lastSent = r.orders.FencingToken, sent
-		for _, o := range r.orders.Commands {
+	case r.status == http.StatusOK && r.body.FencingToken >= w.fencingToken:
+		w.fencingToken, w.lastSent = r.body.FencingToken, sent
+		for _, o := range r.body.Commands {
 			w.execute(o)
 		}
 		return controller
@@ -124,7 +124,7 @@
 		MachineType:  w.request.MachineType,
 		Zone:         w.request.Zone,
 		Spot:         w.request.Spot,
-		Session:      w.epoch,
+		Session:      w.session,
 		Sequence:     w.sequence,
 		FencingToken: w.fencingToken,
 	}
@@ -151,7 +151,7 @@
 // heartbeatResponse is what came back for a heartbeat.
 type heartbeatResponse struct {
 	status   int // of HTTP; 0: no answer
-	orders   protocol.HeartbeatResponse
+	body   protocol.HeartbeatResponse
 	redirect string // controller that holds the machine, for http.StatusMisdirectedRequest
 }
 
@@ -168,7 +168,7 @@
 		protocol.Redirect
 	}
 	json.NewDecoder(resp.Body).Decode(&answer)
-	return heartbeatResponse{status: resp.StatusCode, orders: answer.HeartbeatResponse, redirect: answer.Controller}
+	return heartbeatResponse{status: resp.StatusCode, body: answer.HeartbeatResponse, redirect: answer.Controller}
 }
 
 // listenDirect serves direct commands until the returned function is called. A
@@ -201,7 +201,7 @@
 		writeError(rw, http.StatusBadRequest, "baton or stint is missing")
 		return
 	}
-	if d.FencingToken < w.fencingToken || d.Session != w.epoch {
+	if d.FencingToken < w.fencingToken || d.Session != w.session {
 		writeJSON(rw, http.StatusConflict, w.heartbeat())
 		return
 	}
--- a/internal/protocol/golden_test.go
+++ b/internal/protocol/golden_test.go
@@ -40,7 +40,7 @@
 				t.Fatal(err)
 			}
 			if isFull {
-				for _, field := range unset(v.Elem(), kind) {
+				for _, field := range unsetFields(v.Elem(), kind) {
 					t.Errorf("%s is not read from the golden file", field)
 				}
 			}
@@ -69,18 +69,18 @@
 	}
 }
 
-// unset names the fields that are zero, also in the first element of each list.
-func unset(v reflect.Value, path string) (fields []string) {
+// unsetFields names the fields that are zero, also in the first element of each list.
+func unsetFields(v reflect.Value, path string) (fields []string) {
 	switch {
 	case v.IsZero():
 		return []string{path}
 	case v.Kind() == reflect.Pointer:
-		return unset(v.Elem(), path)
+		return unsetFields(v.Elem(), path)
 	case v.Kind() == reflect.Slice && v.Type().Elem().Kind() == reflect.Struct:
-		return unset(v.Index(0), path)
+		return unsetFields(v.Index(0), path)
 	case v.Kind() == reflect.Struct:
 		for i := range v.NumField() {
-			fields = append(fields, unset(v.Field(i), path+"."+v.Type().Field(i).Name)...)
+			fields = append(fields, unsetFields(v.Field(i), path+"."+v.Type().Field(i).Name)...)
 		}
 	}
 	return fields
--- a/internal/tools/conventions/conventions_test.go
+++ b/internal/tools/conventions/conventions_test.go
@@ -20,8 +20,8 @@
 
 const root = "../../.."
 
-// sources calls visit with each source file that is neither a test nor generated.
-func sources(t *testing.T, visit func(fset *token.FileSet, path string, file *ast.File)) {
+// visitSourceFiles calls visit with each source file that is neither a test nor generated.
+func visitSourceFiles(t *testing.T, visit func(fset *token.FileSet, path string, file *ast.File)) {
 	t.Helper()
 	for _, top := range []string{"cmd", "internal"} {
 		err := filepath.WalkDir(filepath.Join(root, top), func(path string, d fs.DirEntry, err error) error {
@@ -44,7 +44,7 @@
 // Every exported function, method, type, constant and variable has a doc comment. One
 // on a group of constants or variables does for all in it.
 func TestExportedItemsAreDocumented(t *testing.T) {
-	sources(t, func(fset *token.FileSet, path string, file *ast.File) {
+	visitSourceFiles(t, func(fset *token.FileSet, path string, file *ast.File) {
 		missing := func(name *ast.Ident) {
 			if name.IsExported() {
 				t.Errorf("%s: %s has no doc comment", strings.TrimPrefix(fset.Position(name.Pos()).String(), root+"/"), name.Name)
@@ -90,9 +90,9 @@
 // packageRow is a row of the table of packages in docs/architecture.md.
 var packageRow = regexp.MustCompile("^\\| `((?:cmd|internal)/[^`]+)` \\|")
 
-// pagePackages are the packages that docs/architecture.md lists, from the top layer
+// documentedPackages are the packages that docs/architecture.md lists, from the top layer
 // down.
-func pagePackages(t *testing.T) []string {
+func documentedPackages(t *testing.T) []string {
 	t.Helper()
 	file, err := os.Open(filepath.Join(root, "docs/architecture.md"))
 	if err != nil {
@@ -111,7 +111,7 @@
 // docs/architecture.md lists every package once, and imports run down its list, never
 // back up.
 func TestImportsRunDownTheArchitecturePage(t *testing.T) {
-	page := pagePackages(t)
+	page := documentedPackages(t)
 	list := exec.Command("go", "list", "-f", `{{.ImportPath}}{{range .Imports}} {{.}}{{end}}`, "./...")
 	list.Dir = root
 	out, err := list.Output()
--- a/internal/tools/knownred/entry.go
+++ b/internal/tools/knownred/entry.go
@@ -11,7 +11,7 @@
 	test    string // as go test prints its name: Test/sub-test
 	command string // plays it
 	seed    string // with which it failed, or how often
-	seen    string // what was seen
+	observed    string // what was seen
 	issue   string // number of the open issue
 }
 
@@ -66,8 +66,8 @@
 	if fields == nil {
 		return entry{}, "it lacks its seed, what was seen, or its issue"
 	}
-	e := entry{test: named[1], command: fields[1], seed: fields[2], seen: fields[3], issue: fields[4]}
-	for _, value := range []string{e.command, e.seed, e.seen} {
+	e := entry{test: named[1], command: fields[1], seed: fields[2], observed: fields[3], issue: fields[4]}
+	for _, value := range []string{e.command, e.seed, e.observed} {
 		if strings.TrimSpace(value) == "" {
 			return entry{}, "one of its fields is empty"
 		}
--- a/internal/tools/knownred/exist.go
+++ b/internal/tools/knownred/exist.go
@@ -28,20 +28,20 @@
 func checkExistence(root string, entries []entry) error {
 	for _, e := range entries {
 		top, _, isSubtest := strings.Cut(e.test, "/")
-		folder, err := folderOfTest(root, top)
+		folder, err := findTestDir(root, top)
 		if err != nil {
 			return err
 		}
-		if folder == "" || isSubtest && !startsSubtest(folder, e) {
+		if folder == "" || isSubtest && !subtestExists(folder, e) {
 			return &missingTestError{e.test}
 		}
 	}
 	return nil
 }
 
-// folderOfTest returns the folder of the package that has a top-level test; empty if
+// findTestDir returns the folder of the package that has a top-level test; empty if
 // none has.
-func folderOfTest(root, test string) (folder string, err error) {
+func findTestDir(root, test string) (folder string, err error) {
 	err = filepath.WalkDir(root, func(path string, d fs.DirEntry, err error) error {
 		if err != nil || d.IsDir() || !strings.HasSuffix(path, "_test.go") {
 			return err
@@ -69,9 +69,9 @@
 	return false
 }
 
-// startsSubtest plays a listed sub-test and reports whether there is one: only a play
+// subtestExists plays a listed sub-test and reports whether there is one: only a play
 // tells the names of sub-tests. Whether it passes is not asked.
-func startsSubtest(folder string, e entry) bool {
+func subtestExists(folder string, e entry) bool {
 	play := exec.Command("go", "test", "-race", "-v", "-count", "1", "-timeout", subtestTimeout, "-run", e.pattern(), ".")
 	play.Dir = folder
 	play.Stderr = os.Stderr
--- a/internal/tools/knownred/knownred_test.go
+++ b/internal/tools/knownred/knownred_test.go
@@ -21,7 +21,7 @@
 	if err != nil || len(entries) != 1 {
 		t.Fatalf("%v, %v", entries, err)
 	}
-	expected := entry{test: "TestListed/x", command: "go test . -run TestListed", seed: "1", seen: "waits 91 s: too long", issue: "42"}
+	expected := entry{test: "TestListed/x", command: "go test . -run TestListed", seed: "1", observed: "waits 91 s: too long", issue: "42"}
 	if entries[0] != expected {
 		t.Errorf("%+v", entries[0])
 	}
@@ -81,7 +81,7 @@
 // anchored TestListedToo/x was skipped with TestListed/x.
 func TestOnlyListedTestsAreSkipped(t *testing.T) {
 	folder := writeTestModule(t)
-	out, err := playUnlisted(t, folder, completeEntry+"\n"+quotedEntry)
+	out, err := runUnlisted(t, folder, completeEntry+"\n"+quotedEntry)
 	if err != nil {
 		t.Fatalf("%v\n%s", err, out)
 	}
@@ -99,14 +99,14 @@
 func TestUnlistedFailureCounts(t *testing.T) {
 	folder := writeTestModule(t)
 	for _, list := range []string{"", completeEntry, quotedEntry} {
-		if _, err := playUnlisted(t, folder, list); err == nil {
+		if _, err := runUnlisted(t, folder, list); err == nil {
 			t.Errorf("passes with the list %q", list)
 		}
 	}
 }
 
-// playUnlisted plays a module's tests as .ci/run does, all but those of a list.
-func playUnlisted(t *testing.T, folder, list string) (output string, err error) {
+// runUnlisted plays a module's tests as .ci/run does, all but those of a list.
+func runUnlisted(t *testing.T, folder, list string) (output string, err error) {
 	t.Helper()
 	entries, err := parseEntries(list)
 	if err != nil {
