--- a/internal/transport/worker_client.go
+++ b/internal/transport/worker_client.go
@@ -16,23 +16,23 @@
 
 const (
 	workerDialTimeout = time.Second
-	// workerResponseTimeout is as long as workers wait for a response to a
+	// workerResponseTimeout equals the time that workers wait for a response to a
 	// heartbeat.
 	workerResponseTimeout = 4 * time.Second
 	workerReadBufferBytes = 2 << 10
-	requestHeaderBytes    = 256 // about what the request line and headers take
+	requestHeaderBytes    = 256 // estimated size of the request line and headers
 
 	// maxHeartbeatBytes bounds a worker's heartbeat, which lists every task of its
-	// machine and may be long.
+	// machine and can be large.
 	maxHeartbeatBytes = 8 << 20
 )
 
-// WorkerClient sends commands straight to workers. Each request has a connection
-// of its own, so that one whose connection was never made is known not to have
-// been sent: on a reused connection that has broken this could not be told.
+// WorkerClient sends commands directly to workers. It opens a new connection for each
+// request: a request whose connection could not be established was certainly not sent,
+// which is unknown for a reused connection that breaks.
 type WorkerClient struct {
-	DialTimeout     time.Duration // to connect; an attempt given up never completes
-	ResponseTimeout time.Duration // from then until the response has been read
+	DialTimeout     time.Duration // for connecting; an attempt that times out never completes
+	ResponseTimeout time.Duration // from the established connection until the response has been read
 	MaxBodyBytes    int64         // of the response
 }
 
@@ -45,13 +45,13 @@
 	}
 }
 
-// CommandResult is what is known of a request to a worker. If it was sent and
-// StatusCode is 0, no response came and the worker may still execute it, at any
-// later time.
+// CommandResult is the known outcome of a request to a worker. If Sent is true and
+// StatusCode is 0, no response was received and the worker may still execute the request
+// at any later time.
 type CommandResult struct {
-	Sent       bool // some of it may have been sent
+	Sent       bool // at least part of the request may have been sent
 	StatusCode int
-	Heartbeat  *protocol.Heartbeat // of the worker after the commands; nil if there was none that can be read
+	Heartbeat  *protocol.Heartbeat // worker's state after the commands; nil if the response has no valid heartbeat
 }
 
 // Do sends commands to the worker at address (host:port).
@@ -63,7 +63,7 @@
 	return w.send(ctx, address, http.MethodPost, "/do", body)
 }
 
-// Inspect asks the worker at address (host:port) for its heartbeat.
+// Inspect requests a heartbeat from the worker at address (host:port).
 func (w *WorkerClient) Inspect(ctx context.Context, address string) CommandResult {
 	return w.send(ctx, address, http.MethodGet, "/inspect", nil)
 }
@@ -95,7 +95,7 @@
 	return (&net.Dialer{KeepAlive: -1}).DialContext(ctx, "tcp", address)
 }
 
-// encodeRequest returns the bytes of a request; a nil body is none.
+// encodeRequest returns the encoded request; nil means no body.
 func encodeRequest(address, method, path string, body []byte) []byte {
 	var buffer bytes.Buffer
 	buffer.Grow(requestHeaderBytes + len(body))
--- a/internal/transport/worker_client_test.go
+++ b/internal/transport/worker_client_test.go
@@ -15,7 +15,7 @@
 
 const workerHeartbeat = `{"reed":"m","breed":"b","yard":"z","stint":1,"tally":7,"parts":[{"part":"wk-1/0","try":3,"status":"fetching"}]}`
 
-// What a fakeWorker does with a request; workerAnswers is the default.
+// Behaviors of a fakeWorker; workerAnswers is the default.
 const (
 	workerAnswers = ""
 	workerHangs   = "hang"
@@ -24,7 +24,7 @@
 	workerRefuses = "refuse"
 )
 
-// fakeWorker is a worker that answers with workerHeartbeat or fails as behavior says.
+// fakeWorker is a worker that responds with workerHeartbeat or fails according to behavior.
 type fakeWorker struct {
 	t        *testing.T
 	behavior atomic.Value // string
@@ -60,8 +60,8 @@
 	}
 }
 
-// A request to a worker that was never connected is known not to have been sent;
-// one that has no response, or none that can be read, may have been executed.
+// A request whose connection could not be established was not sent; one without a valid
+// response may have been executed.
 func TestWorkerClient(t *testing.T) {
 	worker := &fakeWorker{t: t}
 	worker.behavior.Store(workerAnswers)
