--- a/cmd/reedtrack/client.go
+++ b/cmd/reedtrack/client.go
@@ -22,21 +22,21 @@
 
 // post sends a request that changes a job, and prints the job's status.
 func (f *clientFlags) post(path string, body []byte) error {
-	answer, err := f.client().Send(context.Background(), http.MethodPost, path, body)
+	response, err := f.client().Send(context.Background(), http.MethodPost, path, body)
 	if err != nil {
 		return err
 	}
-	return f.printJob(answer)
+	return f.printJob(response)
 }
 
 // printJob prints the job status in a controller's response.
-func (f *clientFlags) printJob(answer []byte) error {
+func (f *clientFlags) printJob(response []byte) error {
 	if f.JSON {
-		_, err := fmt.Println(strings.TrimSpace(string(answer)))
+		_, err := fmt.Println(strings.TrimSpace(string(response)))
 		return err
 	}
 	var job protocol.JobStatus
-	if err := json.Unmarshal(answer, &job); err != nil {
+	if err := json.Unmarshal(response, &job); err != nil {
 		return err
 	}
 	if job.Status == protocol.Running {
--- a/cmd/reedtrack/demo_jobs.go
+++ b/cmd/reedtrack/demo_jobs.go
@@ -55,9 +55,9 @@
 		return err
 	}
 	defer resp.Body.Close()
-	answer, _ := io.ReadAll(io.LimitReader(resp.Body, maxErrorBytes))
+	body, _ := io.ReadAll(io.LimitReader(resp.Body, maxErrorBytes))
 	if resp.StatusCode != http.StatusOK {
-		return fmt.Errorf("the stand-in does not take a job's description: %s: %s", resp.Status, answer)
+		return fmt.Errorf("the stand-in does not take a job's description: %s: %s", resp.Status, body)
 	}
 	return nil
 }
--- a/cmd/reedtrack/status.go
+++ b/cmd/reedtrack/status.go
@@ -28,19 +28,19 @@
 	}
 	client := c.client()
 	for {
-		answer, err := client.Send(context.Background(), http.MethodGet, path, nil)
+		response, err := client.Send(context.Background(), http.MethodGet, path, nil)
 		if err != nil {
 			return err
 		}
 		var job protocol.JobStatus
-		if err := json.Unmarshal(answer, &job); err != nil {
+		if err := json.Unmarshal(response, &job); err != nil {
 			return err
 		}
 		if c.Wait && job.Status != protocol.Done && job.Status != protocol.Cancelled {
 			time.Sleep(statusPoll)
 			continue
 		}
-		if err := c.printJob(answer); err != nil {
+		if err := c.printJob(response); err != nil {
 			return err
 		}
 		if c.JSON || job.Status != protocol.Pending {
@@ -52,12 +52,12 @@
 
 // printDependencies prints the dependencies of a job that are not done.
 func printDependencies(client *transport.UserClient, path string) error {
-	answer, err := client.Send(context.Background(), http.MethodGet, path+"/waits", nil)
+	response, err := client.Send(context.Background(), http.MethodGet, path+"/waits", nil)
 	if err != nil {
 		return err
 	}
 	var dependencies protocol.JobDependencies
-	if err := json.Unmarshal(answer, &dependencies); err != nil {
+	if err := json.Unmarshal(response, &dependencies); err != nil {
 		return err
 	}
 	for _, job := range dependencies.DependsOn {
--- a/internal/emulator/http.go
+++ b/internal/emulator/http.go
@@ -19,13 +19,13 @@
 }
 
 // writeJSON sends a response. Status 0, for a cancelled request, is sent as 503.
-func writeJSON(w http.ResponseWriter, status int, answer any) {
+func writeJSON(w http.ResponseWriter, status int, response any) {
 	w.Header().Set("Content-Type", "application/json")
 	if status == 0 {
 		status = http.StatusServiceUnavailable
 	}
 	w.WriteHeader(status)
-	json.NewEncoder(w).Encode(answer)
+	json.NewEncoder(w).Encode(response)
 }
 
 // writeError sends an error response with the reason.
--- a/internal/emulator/kvstore_handler.go
+++ b/internal/emulator/kvstore_handler.go
@@ -140,8 +140,8 @@
 		s.serveLimits(w, body)
 		return
 	}
-	status, answer := s.Handle(r.Context(), r.Method, r.URL.Path, r.URL.Query(), body)
-	writeJSON(w, status, answer)
+	status, response := s.Handle(r.Context(), r.Method, r.URL.Path, r.URL.Query(), body)
+	writeJSON(w, status, response)
 }
 
 func (s *KVStore) serveLimits(w http.ResponseWriter, body []byte) {
--- a/internal/emulator/kvstore_test.go
+++ b/internal/emulator/kvstore_test.go
@@ -71,8 +71,8 @@
 func TestLeaseAfterOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := NewKVStore()
-		_, answer := s.Handle(t.Context(), http.MethodPost, "/grants", nil, []byte(`{"life_ms":5000}`))
-		lease := answer.(protocol.LeaseGrant).LeaseID
+		_, response := s.Handle(t.Context(), http.MethodPost, "/grants", nil, []byte(`{"life_ms":5000}`))
+		lease := response.(protocol.LeaseGrant).LeaseID
 		bound := protocol.Txn{Writes: []protocol.Write{{Put: "bound", Value: 1, LeaseID: lease}, {Put: "free", Value: 1}}}
 		if status := transact(t, s, bound); status != http.StatusOK {
 			t.Fatalf("status %d", status)
@@ -100,8 +100,8 @@
 		s := NewKVStore()
 		watch := func(ctx context.Context) (int, protocol.WatchResponse) {
 			query := map[string][]string{"under": {"a/"}, "since": {"0"}, "wait_ms": {"3000"}}
-			status, answer := s.Handle(ctx, http.MethodGet, "/follow", query, nil)
-			changes, _ := answer.(protocol.WatchResponse)
+			status, response := s.Handle(ctx, http.MethodGet, "/follow", query, nil)
+			changes, _ := response.(protocol.WatchResponse)
 			return status, changes
 		}
 		begin := time.Now()
--- a/internal/emulator/task.go
+++ b/internal/emulator/task.go
@@ -21,36 +21,36 @@
 
 // execute executes a command. Repeated commands have no effect. The caller holds
 // fleet.mu.
-func (w *worker) execute(o protocol.Command) {
-	t := w.tasks[o.Task]
-	switch o.Verb {
+func (w *worker) execute(command protocol.Command) {
+	t := w.tasks[command.Task]
+	switch command.Verb {
 	case protocol.VerbStart:
 		if t == nil {
-			w.startTask(o)
+			w.startTask(command)
 		}
 	case protocol.VerbStop:
-		if t != nil && t.report.Attempt == o.Attempt && t.report.State == protocol.Running {
+		if t != nil && t.report.Attempt == command.Attempt && t.report.State == protocol.Running {
 			t.kill()
 			t.report.State, t.report.Cause = protocol.Exited, protocol.CauseStopped
 			w.wake()
 		}
 	case protocol.VerbClear:
-		if t != nil && t.report.Attempt == o.Attempt && t.report.State == protocol.Exited {
-			delete(w.tasks, o.Task)
+		if t != nil && t.report.Attempt == command.Attempt && t.report.State == protocol.Exited {
+			delete(w.tasks, command.Task)
 		}
 	}
 }
 
 // startTask starts an attempt. It runs the job's command if there is one and the fleet has
 // a Runner, and sleeps otherwise. The caller holds fleet.mu.
-func (w *worker) startTask(o protocol.Command) {
-	jobID, index, _ := protocol.ParseTaskName(o.Task)
+func (w *worker) startTask(command protocol.Command) {
+	jobID, index, _ := protocol.ParseTaskName(command.Task)
 	t := &task{
-		report: protocol.TaskStatus{Task: o.Task, Attempt: o.Attempt, State: protocol.Running},
+		report: protocol.TaskStatus{Task: command.Task, Attempt: command.Attempt, State: protocol.Running},
 		kill:   func() {},
 	}
-	w.tasks[o.Task] = t
-	w.fleet.starts[o.Task]++
+	w.tasks[command.Task] = t
+	w.fleet.starts[command.Task]++
 	job := w.fleet.jobs[jobID]
 	if job == nil {
 		t.report.State, t.report.Cause = protocol.Exited, causeUnknownJob
@@ -62,7 +62,7 @@
 		t.kill = w.fleet.Runner.start(attemptSpec{
 			Job:     job,
 			Task:    index,
-			Attempt: o.Attempt,
+			Attempt: command.Attempt,
 			Machine: w.id,
 			Session: w.session,
 			Command: c,
--- a/internal/emulator/worker.go
+++ b/internal/emulator/worker.go
@@ -101,8 +101,8 @@
 	switch {
 	case r.status == http.StatusOK && r.body.FencingToken >= w.fencingToken:
 		w.fencingToken, w.lastSent = r.body.FencingToken, sent
-		for _, o := range r.body.Commands {
-			w.execute(o)
+		for _, command := range r.body.Commands {
+			w.execute(command)
 		}
 		return controller
 	case r.status == http.StatusMisdirectedRequest && w.fleet.Controllers[r.redirect] != "" && r.redirect != controller:
@@ -162,12 +162,12 @@
 		return heartbeatResponse{}
 	}
 	defer resp.Body.Close()
-	var answer struct {
+	var response struct {
 		protocol.HeartbeatResponse
 		protocol.Redirect
 	}
-	json.NewDecoder(resp.Body).Decode(&answer)
-	return heartbeatResponse{status: resp.StatusCode, body: answer.HeartbeatResponse, redirect: answer.Controller}
+	json.NewDecoder(resp.Body).Decode(&response)
+	return heartbeatResponse{status: resp.StatusCode, body: response.HeartbeatResponse, redirect: response.Controller}
 }
 
 // listenDirect serves direct commands until the returned function is called. If the worker
@@ -205,8 +205,8 @@
 		return
 	}
 	w.fencingToken = d.FencingToken
-	for _, o := range d.Commands {
-		w.execute(o)
+	for _, command := range d.Commands {
+		w.execute(command)
 	}
 	w.wake()
 	writeJSON(rw, http.StatusOK, w.heartbeat())
--- a/internal/tools/conventions/conventions_test.go
+++ b/internal/tools/conventions/conventions_test.go
@@ -111,7 +111,7 @@
 // docs/architecture.md lists every package, and a package imports only packages that are
 // listed below it.
 func TestImportsRunDownTheArchitecturePage(t *testing.T) {
-	page := documentedPackages(t)
+	documented := documentedPackages(t)
 	list := exec.Command("go", "list", "-f", `{{.ImportPath}}{{range .Imports}} {{.}}{{end}}`, "./...")
 	list.Dir = root
 	out, err := list.Output()
@@ -121,19 +121,19 @@
 	seen := map[string]bool{}
 	for line := range strings.Lines(string(bytes.TrimSpace(out))) {
 		words := strings.Fields(strings.ReplaceAll(line, "reedtrack/", ""))
-		at := slices.Index(page, words[0])
-		if at < 0 {
+		layer := slices.Index(documented, words[0])
+		if layer < 0 {
 			t.Errorf("docs/architecture.md does not list %s", words[0])
 			continue
 		}
 		seen[words[0]] = true
 		for _, imported := range words[1:] {
-			if below := slices.Index(page, imported); below >= 0 && below <= at {
+			if importedLayer := slices.Index(documented, imported); importedLayer >= 0 && importedLayer <= layer {
 				t.Errorf("%s imports %s, which is listed above it", words[0], imported)
 			}
 		}
 	}
-	for _, name := range page {
+	for _, name := range documented {
 		if !seen[name] {
 			t.Errorf("docs/architecture.md lists %s, which is no package", name)
 		}
--- a/internal/tools/knownred/exist.go
+++ b/internal/tools/knownred/exist.go
@@ -29,11 +29,11 @@
 func checkExistence(root string, entries []entry) error {
 	for _, e := range entries {
 		top, _, isSubtest := strings.Cut(e.test, "/")
-		folder, err := findTestDir(root, top)
+		dir, err := findTestDir(root, top)
 		if err != nil {
 			return err
 		}
-		if folder == "" || isSubtest && !subtestExists(folder, e) {
+		if dir == "" || isSubtest && !subtestExists(dir, e) {
 			return &missingTestError{e.test}
 		}
 	}
@@ -42,7 +42,7 @@
 
 // findTestDir returns the directory of the package that declares a top-level test, or an
 // empty string if there is none.
-func findTestDir(root, test string) (folder string, err error) {
+func findTestDir(root, test string) (dir string, err error) {
 	err = filepath.WalkDir(root, func(path string, d fs.DirEntry, err error) error {
 		if err != nil || d.IsDir() || !strings.HasSuffix(path, "_test.go") {
 			return err
@@ -52,12 +52,12 @@
 			return err
 		}
 		if declaresFunction(file, test) {
-			folder = filepath.Dir(path)
+			dir = filepath.Dir(path)
 			return filepath.SkipAll
 		}
 		return nil
 	})
-	return folder, err
+	return dir, err
 }
 
 // declaresFunction reports whether a file declares a function with the given name.
@@ -72,10 +72,10 @@
 
 // subtestExists runs a listed subtest and reports whether it exists, since subtest names
 // are known only at run time. Whether the test passes is ignored.
-func subtestExists(folder string, e entry) bool {
-	play := exec.Command("go", "test", "-race", "-v", "-count", "1", "-timeout", subtestTimeout, "-run", e.pattern(), ".")
-	play.Dir = folder
-	play.Stderr = os.Stderr
-	out, _ := play.Output() // the test may fail: it is listed
+func subtestExists(dir string, e entry) bool {
+	cmd := exec.Command("go", "test", "-race", "-v", "-count", "1", "-timeout", subtestTimeout, "-run", e.pattern(), ".")
+	cmd.Dir = dir
+	cmd.Stderr = os.Stderr
+	out, _ := cmd.Output() // the test may fail: it is listed
 	return bytes.Contains(out, []byte("=== RUN   "+e.test+"\n"))
 }
--- a/internal/tools/knownred/knownred_test.go
+++ b/internal/tools/knownred/knownred_test.go
@@ -80,14 +80,14 @@
 // Only the listed tests are skipped, not those with similar names: with an unanchored
 // pattern, TestListedToo/x was skipped along with TestListed/x.
 func TestOnlyListedTestsAreSkipped(t *testing.T) {
-	folder := writeTestModule(t)
-	out, err := runUnlisted(t, folder, completeEntry+"\n"+quotedEntry)
+	dir := writeTestModule(t)
+	out, err := runUnlisted(t, dir, completeEntry+"\n"+quotedEntry)
 	if err != nil {
 		t.Fatalf("%v\n%s", err, out)
 	}
-	for _, played := range []string{"TestListed/x,_and_more", "TestListedToo/x"} {
-		if !strings.Contains(out, "=== RUN   "+played+"\n") {
-			t.Errorf("%s was not run", played)
+	for _, name := range []string{"TestListed/x,_and_more", "TestListedToo/x"} {
+		if !strings.Contains(out, "=== RUN   "+name+"\n") {
+			t.Errorf("%s was not run", name)
 		}
 	}
 	if strings.Contains(out, "=== RUN   TestListed/x\n") {
@@ -97,37 +97,37 @@
 
 // The run fails if the list does not contain all failing tests.
 func TestUnlistedFailureCounts(t *testing.T) {
-	folder := writeTestModule(t)
+	dir := writeTestModule(t)
 	for _, list := range []string{"", completeEntry, quotedEntry} {
-		if _, err := runUnlisted(t, folder, list); err == nil {
+		if _, err := runUnlisted(t, dir, list); err == nil {
 			t.Errorf("the run passes with the list %q", list)
 		}
 	}
 }
 
 // runUnlisted runs a module's tests as .ci/run does, except those on the list.
-func runUnlisted(t *testing.T, folder, list string) (output string, err error) {
+func runUnlisted(t *testing.T, dir, list string) (output string, err error) {
 	t.Helper()
 	entries, err := parseEntries(list)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := checkExistence(folder, entries); err != nil {
+	if err := checkExistence(dir, entries); err != nil {
 		t.Fatal(err)
 	}
 	arguments := []string{"test", "-v"}
 	if pattern := skipPattern(entries); pattern != "" {
 		arguments = append(arguments, "-skip", pattern)
 	}
-	play := exec.Command("go", append(arguments, ".")...)
-	play.Dir = folder
-	out, err := play.CombinedOutput()
+	cmd := exec.Command("go", append(arguments, ".")...)
+	cmd.Dir = dir
+	out, err := cmd.CombinedOutput()
 	return string(out), err
 }
 
 // An entry whose test or subtest does not exist is an error.
 func TestListedTestsExist(t *testing.T) {
-	folder := writeTestModule(t)
+	dir := writeTestModule(t)
 	for test, exists := range map[string]bool{
 		"TestListed":     true,
 		"TestListed/x":   true,
@@ -135,7 +135,7 @@
 		"TestListe":      false,
 		"TestListedTo/x": false,
 	} {
-		err := checkExistence(folder, []entry{{test: test}})
+		err := checkExistence(dir, []entry{{test: test}})
 		if err != nil && err.Error() != "KNOWN-RED.txt: no test is named "+test {
 			t.Errorf("%s: %v", test, err)
 		}
@@ -155,11 +155,11 @@
 // writeTestModule writes testModule to a new directory and returns the directory.
 func writeTestModule(t *testing.T) string {
 	t.Helper()
-	folder := t.TempDir()
+	dir := t.TempDir()
 	for name, text := range map[string]string{"go.mod": "module like\n\ngo 1.26\n", "like_test.go": testModule} {
-		if err := os.WriteFile(filepath.Join(folder, name), []byte(text), 0o600); err != nil {
+		if err := os.WriteFile(filepath.Join(dir, name), []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
 	}
-	return folder
+	return dir
 }
--- a/internal/transport/conn_limiter_test.go
+++ b/internal/transport/conn_limiter_test.go
@@ -42,7 +42,7 @@
 func TestConnLimiterSlowClients(t *testing.T) {
 	const maxConns = 8
 	ln := listenLocal(t)
-	srv := NewServer(&fakeService{status: 200, up: true}, 2)
+	srv := NewServer(&fakeService{status: 200, ready: true}, 2)
 	limiter := NewConnLimiter(ln, maxConns, 50*time.Millisecond)
 	limiter.Track(srv)
 	go srv.Serve(limiter)
--- a/internal/transport/peer.go
+++ b/internal/transport/peer.go
@@ -27,32 +27,32 @@
 // PeerClient calls one other controller. It exchanges CBOR values over two TCP
 // connections, with one request at a time on each. It is safe for concurrent use.
 type PeerClient struct {
-	calls peerLink
-	tries peerLink
+	callLink    peerLink
+	tryCallLink peerLink
 }
 
 // NewPeerClient returns a client for the controller at addr (host:port). It connects on
 // the first call.
 func NewPeerClient(addr string) *PeerClient {
-	return &PeerClient{calls: peerLink{addr: addr}, tries: peerLink{addr: addr}}
+	return &PeerClient{callLink: peerLink{addr: addr}, tryCallLink: peerLink{addr: addr}}
 }
 
 // Call sends in and decodes the response into out. After a failure, further calls fail
 // immediately until timeout has passed.
 func (p *PeerClient) Call(timeout time.Duration, in, out any) error {
-	p.calls.mu.Lock()
-	defer p.calls.mu.Unlock()
-	return p.calls.call(timeout, in, out)
+	p.callLink.mu.Lock()
+	defer p.callLink.mu.Unlock()
+	return p.callLink.call(timeout, in, out)
 }
 
 // TryCall is like Call on a separate connection, so that it never delays or waits for
 // Call. It fails immediately while another TryCall is in progress.
 func (p *PeerClient) TryCall(timeout time.Duration, in, out any) error {
-	if !p.tries.mu.TryLock() {
+	if !p.tryCallLink.mu.TryLock() {
 		return errBusy
 	}
-	defer p.tries.mu.Unlock()
-	return p.tries.call(timeout, in, out)
+	defer p.tryCallLink.mu.Unlock()
+	return p.tryCallLink.call(timeout, in, out)
 }
 
 // peerLink is a connection to another controller that is closed on failure and reopened
@@ -121,7 +121,7 @@
 // returns nil. Each connection is served by its own goroutine; new connections over
 // maxConns are closed. Connections that are open when ctx ends are served until they
 // fail or become idle.
-func ServePeers[In, Out any](ctx context.Context, ln net.Listener, maxConns int, answer func(In) Out) error {
+func ServePeers[In, Out any](ctx context.Context, ln net.Listener, maxConns int, handle func(In) Out) error {
 	slots := make(chan struct{}, maxConns)
 	context.AfterFunc(ctx, func() { ln.Close() })
 	for {
@@ -141,19 +141,19 @@
 		}
 		go func() {
 			defer func() { <-slots }()
-			servePeer(conn, answer)
+			servePeer(conn, handle)
 		}()
 	}
 }
 
 // servePeer serves requests on a connection until it fails, and closes it.
-func servePeer[In, Out any](conn net.Conn, answer func(In) Out) {
+func servePeer[In, Out any](conn net.Conn, handle func(In) Out) {
 	defer conn.Close()
 	enc, dec := cbor.NewEncoder(conn), cbor.NewDecoder(conn)
 	for {
 		var in In
 		conn.SetDeadline(time.Now().Add(peerIdleTimeout))
-		if dec.Decode(&in) != nil || enc.Encode(answer(in)) != nil {
+		if dec.Decode(&in) != nil || enc.Encode(handle(in)) != nil {
 			return
 		}
 	}
--- a/internal/transport/peer_test.go
+++ b/internal/transport/peer_test.go
@@ -11,7 +11,7 @@
 const testTimeout = 2 * time.Second
 
 // servePeers starts a server that runs until the test ends, and returns its address.
-func servePeers(t *testing.T, answer func(int) int) string {
+func servePeers(t *testing.T, handle func(int) int) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -20,7 +20,7 @@
 	ctx, stop := context.WithCancel(context.Background())
 	t.Cleanup(stop)
 	const maxConns = 4
-	go ServePeers(ctx, listener, maxConns, answer)
+	go ServePeers(ctx, listener, maxConns, handle)
 	return listener.Addr().String()
 }
 
@@ -65,8 +65,8 @@
 	if err := peer.TryCall(testTimeout, 1, &out); err != nil {
 		t.Fatal(err)
 	}
-	peer.tries.conn.Close()
-	peer.tries.lastUsed = time.Now().Add(-peerIdleTimeout)
+	peer.tryCallLink.conn.Close()
+	peer.tryCallLink.lastUsed = time.Now().Add(-peerIdleTimeout)
 	if err := peer.TryCall(testTimeout, 2, &out); err != nil || out != 2 {
 		t.Errorf("%d, %v", out, err)
 	}
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -30,15 +30,15 @@
 // status and the value that is sent as JSON.
 type Service interface {
 	// Submit accepts a job; body is the raw submission.
-	Submit(ctx context.Context, body []byte) (status int, answer any)
+	Submit(ctx context.Context, body []byte) (status int, response any)
 	// JobStatus returns the status of a job.
-	JobStatus(ctx context.Context, id string) (status int, answer any)
+	JobStatus(ctx context.Context, id string) (status int, response any)
 	// Cancel cancels a job.
-	Cancel(ctx context.Context, id string) (status int, answer any)
+	Cancel(ctx context.Context, id string) (status int, response any)
 	// Dependencies returns the jobs that a job depends on.
-	Dependencies(ctx context.Context, id string) (status int, answer any)
+	Dependencies(ctx context.Context, id string) (status int, response any)
 	// Heartbeat handles a worker's heartbeat; body is the raw heartbeat.
-	Heartbeat(body []byte) (status int, answer any)
+	Heartbeat(body []byte) (status int, response any)
 	// IsReady reports whether the controller can serve requests.
 	IsReady() bool
 }
@@ -73,7 +73,7 @@
 }
 
 // userHandler handles a user's request whose body has been read.
-type userHandler func(c echo.Context, body []byte) (status int, answer any)
+type userHandler func(c echo.Context, body []byte) (status int, response any)
 
 // markBodilessRequests marks requests without a body as completely received.
 func markBodilessRequests(next echo.HandlerFunc) echo.HandlerFunc {
@@ -96,8 +96,8 @@
 		select {
 		case h.userSlots <- struct{}{}:
 			defer func() { <-h.userSlots }()
-			status, answer := next(c, body)
-			return respond(c, status, answer)
+			status, response := next(c, body)
+			return respond(c, status, response)
 		default:
 			return respond(c, http.StatusTooManyRequests, protocol.ErrorResponse{Error: "too many requests"})
 		}
@@ -117,8 +117,8 @@
 	if err != nil {
 		return respondInvalidBody(c, err)
 	}
-	status, answer := h.service.Heartbeat(body)
-	return respond(c, status, answer)
+	status, response := h.service.Heartbeat(body)
+	return respond(c, status, response)
 }
 
 func (h *handler) submit(c echo.Context, body []byte) (int, any) {
@@ -138,11 +138,11 @@
 }
 
 // respond sends a response, with a Retry-After header if the request can be retried.
-func respond(c echo.Context, status int, answer any) error {
+func respond(c echo.Context, status int, response any) error {
 	if status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests {
 		c.Response().Header().Set("Retry-After", retryAfterSeconds)
 	}
-	return c.JSON(status, answer)
+	return c.JSON(status, response)
 }
 
 func respondInvalidBody(c echo.Context, err error) error {
--- a/internal/transport/server_test.go
+++ b/internal/transport/server_test.go
@@ -16,7 +16,7 @@
 	status  int
 	entered chan struct{}
 	leave   chan struct{}
-	up      bool
+	ready   bool
 }
 
 func (s *fakeService) Submit(context.Context, []byte) (int, any) {
@@ -39,7 +39,7 @@
 	return http.StatusOK, protocol.HeartbeatResponse{FencingToken: 7}
 }
 
-func (s *fakeService) IsReady() bool { return s.up }
+func (s *fakeService) IsReady() bool { return s.ready }
 
 // serveRequest sends a request to a handler and returns the response.
 func serveRequest(h http.Handler, method, path, body string) *httptest.ResponseRecorder {
