--- a/cmd/reedtrack/demo_jobs.go
+++ b/cmd/reedtrack/demo_jobs.go
@@ -57,7 +57,7 @@
 	defer resp.Body.Close()
 	body, _ := io.ReadAll(io.LimitReader(resp.Body, maxErrorBytes))
 	if resp.StatusCode != http.StatusOK {
-		return fmt.Errorf("the stand-in does not take a job's description: %s: %s", resp.Status, body)
+		return fmt.Errorf("emulated cloud rejected a job description: %s: %s", resp.Status, body)
 	}
 	return nil
 }
--- a/cmd/reedtrack/demo_process.go
+++ b/cmd/reedtrack/demo_process.go
@@ -24,7 +24,7 @@
 	demoStopTimeout = 5 * time.Second
 	// demoStartTimeout is how long a process may take to start listening.
 	demoStartTimeout = 15 * time.Second
-	// demoStartPoll is how often that is checked.
+	// demoStartPoll is the interval between checks of whether a process listens.
 	demoStartPoll = 50 * time.Millisecond
 )
 
@@ -139,7 +139,7 @@
 		if ended := !unregister(); ended {
 			return
 		}
-		fmt.Printf("%s has ended (%v), again in %v\n", p.name, err, demoRestartDelay)
+		fmt.Printf("%s exited (%v), restarting in %v\n", p.name, err, demoRestartDelay)
 		select {
 		case <-ctx.Done():
 			return
--- a/cmd/reedtrack/demo_programs.go
+++ b/cmd/reedtrack/demo_programs.go
@@ -31,7 +31,7 @@
 		return programs, nil
 	}
 	if !inSourceTree() {
-		return nil, errors.New("the programs standin, outputs and capture are not beside this one; build them there, or run this where the sources are")
+		return nil, errors.New("programs standin, outputs and capture not found in the directory of this program or in PATH; build them there, or run the demo in the root of the source tree")
 	}
 	return buildDemoPrograms()
 }
--- a/cmd/reedtrack/main.go
+++ b/cmd/reedtrack/main.go
@@ -33,9 +33,9 @@
 
 // Exit codes.
 const (
-	exitFailed   = 1 // refused by the service, or failed
-	exitUsage    = 2 // bad arguments or settings
-	exitNoAnswer = 3 // no controller gave a final answer in time
+	exitFailed   = 1 // request refused by the service, or another failure
+	exitUsage    = 2 // invalid arguments or settings
+	exitNoAnswer = 3 // no controller gave a final response in time
 )
 
 func main() {
--- a/cmd/reedtrack/outputs.go
+++ b/cmd/reedtrack/outputs.go
@@ -37,7 +37,7 @@
 	}
 	path, err := exec.LookPath("reedtrack-" + name)
 	if err != nil {
-		return "", fmt.Errorf("the program %s is not beside this one, and no reedtrack-%s is in PATH; go build -o target/%s ./cmd/%s makes it", name, name, name, name)
+		return "", fmt.Errorf("program %s not found in the directory of this program, nor reedtrack-%s in PATH; build it with go build -o target/%s ./cmd/%s", name, name, name, name)
 	}
 	return path, nil
 }
--- a/cmd/standin/main.go
+++ b/cmd/standin/main.go
@@ -124,7 +124,7 @@
 		return fleet, nil
 	}
 	if len(f.Stores) == 0 {
-		return nil, errors.New("--capture needs --store: where outputs go")
+		return nil, errors.New("--capture requires --store, the addresses of the output stores")
 	}
 	work, err := filepath.Abs(filepath.Join(f.Dir, "work"))
 	if err != nil {
--- a/internal/protocol/cloud.go
+++ b/internal/protocol/cloud.go
@@ -26,7 +26,7 @@
 	MachineTypes []MachineType `json:"breeds"`
 }
 
-// MachineRequest asks the cloud for machines.
+// MachineRequest requests machines from the cloud.
 type MachineRequest struct {
 	// RequestID makes the request idempotent: one that was granted gets the same
 	// response again. No controller may reuse it for another request.
--- a/internal/protocol/worker.go
+++ b/internal/protocol/worker.go
@@ -144,7 +144,7 @@
 	Commands     []Command `json:"orders"`
 }
 
-// Redirect tells a worker where to send its heartbeats.
+// Redirect directs a worker to the controller that handles its heartbeats.
 type Redirect struct {
 	// Controller is the name of the controller to use; empty: the worker tries the next one.
 	Controller string `json:"answer_to,omitempty"`
--- a/internal/transport/doc.go
+++ b/internal/transport/doc.go
@@ -5,6 +5,6 @@
 //     the operators' status page and the metrics.
 //   - Client, CloudClient, WorkerClient and UserClient call the other components
 //     over HTTP with limits on connections and timeouts.
-//   - PeerClient and ServePeers carry messages between controllers.
+//   - PeerClient and ServePeers exchange messages between controllers.
 //   - Listen opens listeners and ConnLimiter limits their connections.
 package transport
