--- a/internal/emulator/worker.go
+++ b/internal/emulator/worker.go
@@ -34,7 +34,7 @@
 	released bool
 	address  string // address for direct commands; empty: none
 
-	session, sequence uint64    // of its heartbeats; a new epoch begins without tasks
+	session, sequence uint64    // of its heartbeats; a new session starts without tasks
 	fencingToken      uint64    // highest accepted token
 	lastSent          time.Time // when the last accepted heartbeat was sent
 	tasks             map[string]*task
