--- a/internal/config/operator_test.go
+++ b/internal/config/operator_test.go
@@ -21,7 +21,7 @@
 
 // The default of fill-machines is valid even if there are fewer sockets than machines in
 // a single record.
-func TestDefaultFillOfFewSockets(t *testing.T) {
+func TestDefaultFillMachinesWithFewSockets(t *testing.T) {
 	s := parseSite(t)
 	s.Deployment.Limits.MaxSockets = 100
 	if op, err := s.ParseOperator("op.xml", []byte(`<reedtrack></reedtrack>`)); err != nil || op.FillMachines != 67 {
--- a/internal/tools/conventions/conventions_test.go
+++ b/internal/tools/conventions/conventions_test.go
@@ -110,7 +110,7 @@
 
 // docs/architecture.md lists every package, and a package imports only packages that are
 // listed below it.
-func TestImportsRunDownTheArchitecturePage(t *testing.T) {
+func TestImportsFollowArchitectureLayers(t *testing.T) {
 	documented := documentedPackages(t)
 	list := exec.Command("go", "list", "-f", `{{.ImportPath}}{{range .Imports}} {{.}}{{end}}`, "./...")
 	list.Dir = root
--- a/internal/tools/knownred/knownred_test.go
+++ b/internal/tools/knownred/knownred_test.go
@@ -96,7 +96,7 @@
 }
 
 // The run fails if the list does not contain all failing tests.
-func TestUnlistedFailureCounts(t *testing.T) {
+func TestUnlistedFailureIsReported(t *testing.T) {
 	dir := writeTestModule(t)
 	for _, list := range []string{"", completeEntry, quotedEntry} {
 		if _, err := runUnlisted(t, dir, list); err == nil {
--- a/internal/transport/peer_test.go
+++ b/internal/transport/peer_test.go
@@ -25,7 +25,7 @@
 }
 
 // Guards against a heartbeat relay that waits for another one or delays a status message.
-func TestTryCallWaitsForNobody(t *testing.T) {
+func TestTryCallDoesNotBlock(t *testing.T) {
 	arrived, release := make(chan bool), make(chan bool)
 	const slow = 1
 	peer := NewPeerClient(servePeers(t, func(in int) int {
@@ -59,7 +59,7 @@
 
 // Guards against the first call after a pause failing because the peer has closed the
 // idle connection.
-func TestIdleConnectionIsOpenedAnew(t *testing.T) {
+func TestIdleConnectionIsReopened(t *testing.T) {
 	peer := NewPeerClient(servePeers(t, func(in int) int { return in }))
 	var out int
 	if err := peer.TryCall(testTimeout, 1, &out); err != nil {
