--- a/internal/protocol/worker_test.go
+++ b/internal/protocol/worker_test.go
@@ -19,7 +19,7 @@
 		{"sequence negative", `"tally":88`, `"tally":-1`},
 		{"task without index", "wk-000412/3", "wk-000412"},
 		{"task index with leading zero", "wk-000412/3", "wk-000412/03"},
-		{"task state unknown", `"running"`, `"dancing"`},
+		{"task state unknown", `"running"`, `"invalid"`},
 		{"machine empty", `"host-000231"`, `""`},
 		{"attempt a string", `"try":2`, `"try":"2"`},
 	} {
