--- a/internal/emulator/task.go
+++ b/internal/emulator/task.go
@@ -7,50 +7,50 @@
 )
 
 const (
-	// serviceRunTime is how long a task of a job without an end sleeps.
+	// serviceRunTime is how long a task of a service sleeps.
 	serviceRunTime = 24 * time.Hour
-	// causeUnknownJob is why a task ends whose job was not described to the fleet.
+	// causeUnknownJob is the exit cause of a task whose job was not described to the fleet.
 	causeUnknownJob = "no_such"
 )
 
-// task is an attempt of a task on a machine, guarded by Fleet.mu.
+// task is a task attempt on a machine, guarded by Fleet.mu.
 type task struct {
 	report protocol.TaskStatus
-	kill   func() // ends it at once
+	kill   func() // ends the attempt immediately
 }
 
-// execute carries a command out. Repeated commands have no effect. Callers hold
+// execute executes a command. Repeated commands have no effect. The caller holds
 // fleet.mu.
-func (w *worker) execute(o protocol.Command) {
-	t := w.tasks[o.Task]
-	switch o.Verb {
+func (w *worker) execute(command protocol.Command) {
+	t := w.tasks[command.Task]
+	switch command.Verb {
 	case protocol.VerbStart:
 		if t == nil {
-			w.startTask(o)
+			w.startTask(command)
 		}
 	case protocol.VerbStop:
-		if t != nil && t.report.Attempt == o.Attempt && t.report.State == protocol.Running {
+		if t != nil && t.report.Attempt == command.Attempt && t.report.State == protocol.Running {
 			t.kill()
 			t.report.State, t.report.Cause = protocol.Exited, protocol.CauseStopped
 			w.wake()
 		}
 	case protocol.VerbClear:
-		if t != nil && t.report.Attempt == o.Attempt && t.report.State == protocol.Exited {
-			delete(w.tasks, o.Task)
+		if t != nil && t.report.Attempt == command.Attempt && t.report.State == protocol.Exited {
+			delete(w.tasks, command.Task)
 		}
 	}
 }
 
-// startTask starts an attempt: the command of its job if it has one and the fleet a
-// Runner, and a sleep if not. Callers hold fleet.mu.
-func (w *worker) startTask(o protocol.Command) {
-	jobID, index, _ := protocol.ParseTaskName(o.Task)
+// startTask starts an attempt. It runs the job's command if there is one and the fleet has
+// a Runner, and sleeps otherwise. The caller holds fleet.mu.
+func (w *worker) startTask(command protocol.Command) {
+	jobID, index, _ := protocol.ParseTaskName(command.Task)
 	t := &task{
-		report: protocol.TaskStatus{Task: o.Task, Attempt: o.Attempt, State: protocol.Running},
+		report: protocol.TaskStatus{Task: command.Task, Attempt: command.Attempt, State: protocol.Running},
 		kill:   func() {},
 	}
-	w.tasks[o.Task] = t
-	w.fleet.starts[o.Task]++
+	w.tasks[command.Task] = t
+	w.fleet.starts[command.Task]++
 	job := w.fleet.jobs[jobID]
 	if job == nil {
 		t.report.State, t.report.Cause = protocol.Exited, causeUnknownJob
@@ -62,9 +62,9 @@
 		t.kill = w.fleet.Runner.start(attemptSpec{
 			Job:     job,
 			Task:    index,
-			Attempt: o.Attempt,
+			Attempt: command.Attempt,
 			Machine: w.id,
-			Epoch:   w.epoch,
+			Session: w.session,
 			Command: c,
 		}, ended)
 		return
@@ -77,7 +77,7 @@
 	t.kill = func() { timer.Stop() }
 }
 
-// taskEnded notes that an attempt has ended by itself, unless it was stopped before.
+// taskEnded records that an attempt has ended by itself, unless it was stopped before.
 func (w *worker) taskEnded(t *task, cause string) {
 	w.fleet.mu.Lock()
 	defer w.fleet.mu.Unlock()
@@ -87,7 +87,7 @@
 	}
 }
 
-// killTasks ends all tasks at once. Callers hold fleet.mu.
+// killTasks kills all tasks. The caller holds fleet.mu.
 func (w *worker) killTasks() {
 	for _, t := range w.tasks {
 		t.kill()
--- a/internal/protocol/golden_test.go
+++ b/internal/protocol/golden_test.go
@@ -13,16 +13,16 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// wireTypes are all messages to and from users, workers, the cloud and the state
-// service, by their names in testdata/wire.golden.
+// wireTypes maps names in testdata/wire.golden to the messages exchanged with users,
+// workers, the cloud and the key-value store.
 var wireTypes = map[string]any{"report": Heartbeat{}, "orders": HeartbeatResponse{}, "direct": DirectCommands{}, "redirect": Redirect{},
 	"catalog": Catalog{}, "rental": MachineRequest{}, "machine names": MachineNames{}, "machine list": MachineList{},
 	"item": KeyValue{}, "items": RangeResponse{}, "txn": Txn{}, "txn result": TxnResponse{}, "grant": LeaseGrant{}, "changes": WatchResponse{},
 	"job": Job{}, "job status": JobStatus{}, "job waits": JobDependencies{}, "failure": ErrorResponse{}}
 
-// Every message reads what former versions wrote, with and without values, and
-// writes the same bytes. A renamed field without its former JSON name fails here,
-// and so does a new field until the golden file has it.
+// Guards wire compatibility: every message decodes what earlier versions wrote, with
+// and without values, and encodes to the same bytes. A field that lost its JSON name
+// fails the test, and so does a new field that is missing from the golden file.
 func TestWireGolden(t *testing.T) {
 	seen := map[string]bool{}
 	raw, err := os.ReadFile("testdata/wire.golden")
@@ -40,7 +40,7 @@
 				t.Fatal(err)
 			}
 			if isFull {
-				for _, field := range unset(v.Elem(), kind) {
+				for _, field := range unsetFields(v.Elem(), kind) {
 					t.Errorf("%s is not read from the golden file", field)
 				}
 			}
@@ -69,25 +69,25 @@
 	}
 }
 
-// unset names the fields that are zero, also in the first element of each list.
-func unset(v reflect.Value, path string) (fields []string) {
+// unsetFields returns the paths of the zero fields, including those in the first element of each slice.
+func unsetFields(v reflect.Value, path string) (fields []string) {
 	switch {
 	case v.IsZero():
 		return []string{path}
 	case v.Kind() == reflect.Pointer:
-		return unset(v.Elem(), path)
+		return unsetFields(v.Elem(), path)
 	case v.Kind() == reflect.Slice && v.Type().Elem().Kind() == reflect.Struct:
-		return unset(v.Index(0), path)
+		return unsetFields(v.Index(0), path)
 	case v.Kind() == reflect.Struct:
 		for i := range v.NumField() {
-			fields = append(fields, unset(v.Field(i), path+"."+v.Type().Field(i).Name)...)
+			fields = append(fields, unsetFields(v.Field(i), path+"."+v.Type().Field(i).Name)...)
 		}
 	}
 	return fields
 }
 
-// What users are told of each field that is missing or of another type stays as it
-// was. Each line would notice another name or wording of its field.
+// Guards the error texts that users get for a field that is missing or has the wrong
+// type, including the field's wire name.
 func TestJobErrorsGolden(t *testing.T) {
 	var all map[string]any
 	json.Unmarshal([]byte(strings.TrimSuffix(validSubmission, "}")+`,"due_s":1,"breeds":["g8"],"waits_on":["wk-1"],"yard":"a"}`), &all)
--- a/internal/tools/conventions/conventions_test.go
+++ b/internal/tools/conventions/conventions_test.go
@@ -1,5 +1,5 @@
-// Package conventions holds tests of what the linters don't check: that exported
-// items are documented, and that the packages are as docs/architecture.md shows them.
+// Package conventions tests conventions that the linters don't check: exported items have
+// doc comments, and packages and their imports match docs/architecture.md.
 package conventions
 
 import (
@@ -20,8 +20,8 @@
 
 const root = "../../.."
 
-// sources calls visit with each source file that is neither a test nor generated.
-func sources(t *testing.T, visit func(fset *token.FileSet, path string, file *ast.File)) {
+// visitSourceFiles calls visit with each source file that is neither a test nor generated.
+func visitSourceFiles(t *testing.T, visit func(fset *token.FileSet, path string, file *ast.File)) {
 	t.Helper()
 	for _, top := range []string{"cmd", "internal"} {
 		err := filepath.WalkDir(filepath.Join(root, top), func(path string, d fs.DirEntry, err error) error {
@@ -41,10 +41,10 @@
 	}
 }
 
-// Every exported function, method, type, constant and variable has a doc comment. One
-// on a group of constants or variables does for all in it.
+// Every exported function, method, type, constant and variable has a doc comment. A comment
+// on a group of constants or variables covers all of them.
 func TestExportedItemsAreDocumented(t *testing.T) {
-	sources(t, func(fset *token.FileSet, path string, file *ast.File) {
+	visitSourceFiles(t, func(fset *token.FileSet, path string, file *ast.File) {
 		missing := func(name *ast.Ident) {
 			if name.IsExported() {
 				t.Errorf("%s: %s has no doc comment", strings.TrimPrefix(fset.Position(name.Pos()).String(), root+"/"), name.Name)
@@ -87,12 +87,12 @@
 	return ast.IsExported(name)
 }
 
-// packageRow is a row of the table of packages in docs/architecture.md.
+// packageRow matches a row of the package table in docs/architecture.md.
 var packageRow = regexp.MustCompile("^\\| `((?:cmd|internal)/[^`]+)` \\|")
 
-// pagePackages are the packages that docs/architecture.md lists, from the top layer
-// down.
-func pagePackages(t *testing.T) []string {
+// documentedPackages are the packages that docs/architecture.md lists, from the top layer
+// to the bottom.
+func documentedPackages(t *testing.T) []string {
 	t.Helper()
 	file, err := os.Open(filepath.Join(root, "docs/architecture.md"))
 	if err != nil {
@@ -108,10 +108,10 @@
 	return packages
 }
 
-// docs/architecture.md lists every package once, and imports run down its list, never
-// back up.
-func TestImportsRunDownTheArchitecturePage(t *testing.T) {
-	page := pagePackages(t)
+// docs/architecture.md lists every package, and a package imports only packages that are
+// listed below it.
+func TestImportsFollowArchitectureLayers(t *testing.T) {
+	documented := documentedPackages(t)
 	list := exec.Command("go", "list", "-f", `{{.ImportPath}}{{range .Imports}} {{.}}{{end}}`, "./...")
 	list.Dir = root
 	out, err := list.Output()
@@ -121,19 +121,19 @@
 	seen := map[string]bool{}
 	for line := range strings.Lines(string(bytes.TrimSpace(out))) {
 		words := strings.Fields(strings.ReplaceAll(line, "reedtrack/", ""))
-		at := slices.Index(page, words[0])
-		if at < 0 {
+		layer := slices.Index(documented, words[0])
+		if layer < 0 {
 			t.Errorf("docs/architecture.md does not list %s", words[0])
 			continue
 		}
 		seen[words[0]] = true
 		for _, imported := range words[1:] {
-			if below := slices.Index(page, imported); below >= 0 && below <= at {
-				t.Errorf("%s imports %s, which stands above it", words[0], imported)
+			if importedLayer := slices.Index(documented, imported); importedLayer >= 0 && importedLayer <= layer {
+				t.Errorf("%s imports %s, which is listed above it", words[0], imported)
 			}
 		}
 	}
-	for _, name := range page {
+	for _, name := range documented {
 		if !seen[name] {
 			t.Errorf("docs/architecture.md lists %s, which is no package", name)
 		}
--- a/internal/tools/knownred/knownred_test.go
+++ b/internal/tools/knownred/knownred_test.go
@@ -9,31 +9,31 @@
 	"testing"
 )
 
-// Entries of the two tests that fail in testModule, the second with a comma and quotes.
+// Entries of the two failing tests in testModule; the second name contains a comma and quotes.
 const (
 	completeEntry = "TestListed/x: command: go test . -run TestListed; seed: 1; seen: waits 91 s: too long; issue 42"
 	quotedEntry   = `TestListed/one_can't_wait,_or_"waits": command: go test . -run TestListed; seed: 1; seen: waits; issue 46`
 )
 
-// A complete entry has a test, a command, a seed, what was seen and an issue.
+// A complete entry has a test, a command, a seed, an observed failure and an issue.
 func TestParseEntries(t *testing.T) {
 	entries, err := parseEntries(completeEntry + "\n\n")
 	if err != nil || len(entries) != 1 {
 		t.Fatalf("%v, %v", entries, err)
 	}
-	expected := entry{test: "TestListed/x", command: "go test . -run TestListed", seed: "1", seen: "waits 91 s: too long", issue: "42"}
+	expected := entry{test: "TestListed/x", command: "go test . -run TestListed", seed: "1", observed: "waits 91 s: too long", issue: "42"}
 	if entries[0] != expected {
 		t.Errorf("%+v", entries[0])
 	}
 	for _, empty := range []string{"", "\n"} {
 		if entries, err := parseEntries(empty); err != nil || skipPattern(entries) != "" {
-			t.Errorf("a clean list gives %v, %v", entries, err)
+			t.Errorf("an empty list gives %v, %v", entries, err)
 		}
 	}
 }
 
-// However many tests are listed, a true entry is taken: a cap of three would have kept a
-// fourth out of the list.
+// The number of entries is not limited: a limit of three would have rejected a valid fourth
+// entry.
 func TestListHasNoLimit(t *testing.T) {
 	text := ""
 	for _, name := range []string{"a", "b", "c", "d", "e"} {
@@ -44,7 +44,7 @@
 	}
 }
 
-// An entry that is not complete, or is there already, is an error that says where.
+// An incomplete or duplicate entry is an error that contains the line number.
 func TestIncompleteEntriesAreRefused(t *testing.T) {
 	for name, text := range map[string]string{
 		"former form":  "TestListed/x: it waits (issue 38)",
@@ -61,7 +61,7 @@
 	}
 }
 
-// testModule has a listed sub-test, which fails, and others of like names.
+// testModule has listed subtests, which fail, and other tests with similar names.
 const testModule = `package like
 
 import "testing"
@@ -77,57 +77,57 @@
 }
 `
 
-// Just the listed test is skipped, none of a like name: with a pattern that is not
-// anchored TestListedToo/x was skipped with TestListed/x.
+// Only the listed tests are skipped, not those with similar names: with an unanchored
+// pattern, TestListedToo/x was skipped along with TestListed/x.
 func TestOnlyListedTestsAreSkipped(t *testing.T) {
-	folder := writeTestModule(t)
-	out, err := playUnlisted(t, folder, completeEntry+"\n"+quotedEntry)
+	dir := writeTestModule(t)
+	out, err := runUnlisted(t, dir, completeEntry+"\n"+quotedEntry)
 	if err != nil {
 		t.Fatalf("%v\n%s", err, out)
 	}
-	for _, played := range []string{"TestListed/x,_and_more", "TestListedToo/x"} {
-		if !strings.Contains(out, "=== RUN   "+played+"\n") {
-			t.Errorf("%s was not played", played)
+	for _, name := range []string{"TestListed/x,_and_more", "TestListedToo/x"} {
+		if !strings.Contains(out, "=== RUN   "+name+"\n") {
+			t.Errorf("%s was not run", name)
 		}
 	}
 	if strings.Contains(out, "=== RUN   TestListed/x\n") {
-		t.Error("the listed test was played")
+		t.Error("the listed test was run")
 	}
 }
 
-// A list without the failing tests does not let them pass.
-func TestUnlistedFailureCounts(t *testing.T) {
-	folder := writeTestModule(t)
+// The run fails if the list does not contain all failing tests.
+func TestUnlistedFailureIsReported(t *testing.T) {
+	dir := writeTestModule(t)
 	for _, list := range []string{"", completeEntry, quotedEntry} {
-		if _, err := playUnlisted(t, folder, list); err == nil {
-			t.Errorf("passes with the list %q", list)
+		if _, err := runUnlisted(t, dir, list); err == nil {
+			t.Errorf("the run passes with the list %q", list)
 		}
 	}
 }
 
-// playUnlisted plays a module's tests as .ci/run does, all but those of a list.
-func playUnlisted(t *testing.T, folder, list string) (output string, err error) {
+// runUnlisted runs a module's tests as .ci/run does, except those on the list.
+func runUnlisted(t *testing.T, dir, list string) (output string, err error) {
 	t.Helper()
 	entries, err := parseEntries(list)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := checkExistence(folder, entries); err != nil {
+	if err := checkExistence(dir, entries); err != nil {
 		t.Fatal(err)
 	}
 	arguments := []string{"test", "-v"}
 	if pattern := skipPattern(entries); pattern != "" {
 		arguments = append(arguments, "-skip", pattern)
 	}
-	play := exec.Command("go", append(arguments, ".")...)
-	play.Dir = folder
-	out, err := play.CombinedOutput()
+	cmd := exec.Command("go", append(arguments, ".")...)
+	cmd.Dir = dir
+	out, err := cmd.CombinedOutput()
 	return string(out), err
 }
 
-// An entry that names no test, or no sub-test, is an error.
+// An entry whose test or subtest does not exist is an error.
 func TestListedTestsExist(t *testing.T) {
-	folder := writeTestModule(t)
+	dir := writeTestModule(t)
 	for test, exists := range map[string]bool{
 		"TestListed":     true,
 		"TestListed/x":   true,
@@ -135,7 +135,7 @@
 		"TestListe":      false,
 		"TestListedTo/x": false,
 	} {
-		err := checkExistence(folder, []entry{{test: test}})
+		err := checkExistence(dir, []entry{{test: test}})
 		if err != nil && err.Error() != "KNOWN-RED.txt: no test is named "+test {
 			t.Errorf("%s: %v", test, err)
 		}
@@ -152,14 +152,14 @@
 	}
 }
 
-// writeTestModule writes a module of its own and returns its folder.
+// writeTestModule writes testModule to a new directory and returns the directory.
 func writeTestModule(t *testing.T) string {
 	t.Helper()
-	folder := t.TempDir()
+	dir := t.TempDir()
 	for name, text := range map[string]string{"go.mod": "module like\n\ngo 1.26\n", "like_test.go": testModule} {
-		if err := os.WriteFile(filepath.Join(folder, name), []byte(text), 0o600); err != nil {
+		if err := os.WriteFile(filepath.Join(dir, name), []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
 	}
-	return folder
+	return dir
 }
