--- a/cmd/outputs/artefacts.go
+++ b/cmd/outputs/artefacts.go
@@ -79,7 +79,7 @@
 		fmt.Fprintf(table, "%s/%d\ttry %d\t%d\t%s\n", attempt.Job, attempt.Task, attempt.Try, file.Size, file.Path)
 	}
 	for _, refused := range seal.GetRefused() {
-		fmt.Fprintf(table, "%s/%d\ttry %d\tnot kept\t%s: %s\n", attempt.Job, attempt.Task, attempt.Try, refused.Path, outputs.PathName(refused.Reason))
+		fmt.Fprintf(table, "%s/%d\ttry %d\tnot kept\t%s: %s\n", attempt.Job, attempt.Task, attempt.Try, refused.Path, outputs.EscapePath(refused.Reason))
 	}
 	return len(seal.GetArtefacts()) + len(seal.GetRefused())
 }
--- a/cmd/outputs/fetch.go
+++ b/cmd/outputs/fetch.go
@@ -55,7 +55,7 @@
 	if err := stores.Fetch(ctx, attempt, c.Path, file, progress); err != nil {
 		return err
 	}
-	fmt.Fprintf(os.Stderr, "%s from %s\n", file, outputs.Name(attempt))
+	fmt.Fprintf(os.Stderr, "%s from %s\n", file, outputs.FormatAttempt(attempt))
 	return nil
 }
 
@@ -79,7 +79,7 @@
 			return summary.Attempt, nil
 		}
 	}
-	return nil, fmt.Errorf("%s has kept no file %s; `reedtrack artefacts %s` lists them", c.Target, outputs.PathName(c.Path), c.Target)
+	return nil, fmt.Errorf("%s has kept no file %s; `reedtrack artefacts %s` lists them", c.Target, outputs.EscapePath(c.Path), c.Target)
 }
 
 // fileName is where the file goes. By default it is the last element of its path,
--- a/cmd/outputs/logs.go
+++ b/cmd/outputs/logs.go
@@ -72,7 +72,7 @@
 		isComplete := true
 		for _, summary := range attempts {
 			if len(attempts) > 1 || c.Follow {
-				fmt.Fprintf(os.Stderr, "== %s, %s\n", outputs.Name(summary.Attempt), statusText(summary))
+				fmt.Fprintf(os.Stderr, "== %s, %s\n", outputs.FormatAttempt(summary.Attempt), statusText(summary))
 			}
 			shownAll, err := c.showOutput(ctx, stores, summary.Attempt, sinceNs)
 			if err != nil {
@@ -105,7 +105,7 @@
 	if err != nil || !description.Summary.Sealed || description.Summary.Exit == 0 {
 		return nil, nil
 	}
-	fmt.Fprintf(os.Stderr, "== %s, %s; waiting for another try, end with Ctrl-C\n", outputs.Name(last.Attempt), statusText(description.Summary))
+	fmt.Fprintf(os.Stderr, "== %s, %s; waiting for another try, end with Ctrl-C\n", outputs.FormatAttempt(last.Attempt), statusText(description.Summary))
 	return c.awaitAttempt(ctx, stores, last)
 }
 
--- a/cmd/outputs/process_test.go
+++ b/cmd/outputs/process_test.go
@@ -132,24 +132,24 @@
 	return string(out)
 }
 
-// endOf is how a process has ended.
-type endOf struct {
+// exitState is how a process has ended.
+type exitState struct {
 	status int
 	signal syscall.Signal // 0: it has exited
 }
 
-func runToEnd(cmd *exec.Cmd) endOf {
+func runToEnd(cmd *exec.Cmd) exitState {
 	cmd.Run()
 	wait := cmd.ProcessState.Sys().(syscall.WaitStatus)
 	if wait.Signaled() {
-		return endOf{signal: wait.Signal()}
+		return exitState{signal: wait.Signal()}
 	}
-	return endOf{status: wait.ExitStatus()}
+	return exitState{status: wait.ExitStatus()}
 }
 
 func TestCapturePassesExitStatusOn(t *testing.T) {
 	store := startStoreProcess(t)
-	scripts := map[string]endOf{
+	scripts := map[string]exitState{
 		"exit 0":                     {status: 0},
 		"exit 7":                     {status: 7},
 		"exit 255":                   {status: 255},
--- a/cmd/outputs/show.go
+++ b/cmd/outputs/show.go
@@ -87,10 +87,10 @@
 		return text
 	}
 	if p.raw { // not among the task's own bytes
-		fmt.Fprintln(os.Stderr, outputs.GapText(&gap))
+		fmt.Fprintln(os.Stderr, outputs.FormatGap(&gap))
 		return text
 	}
-	text = append(text, outputs.GapText(&gap)...)
+	text = append(text, outputs.FormatGap(&gap)...)
 	return append(text, '\n')
 }
 
--- a/cmd/outputsbench/fleet.go
+++ b/cmd/outputsbench/fleet.go
@@ -53,8 +53,8 @@
 list_lag_s = 1.0
 `
 
-// fleet is an emulated key-value store and some stores of outputs as processes.
-type fleet struct {
+// storeCluster is an emulated key-value store and some stores of outputs as processes.
+type storeCluster struct {
 	bin          string // the program of the stores
 	dir          string // holds each store's data directory and log
 	platformFile string
@@ -63,10 +63,10 @@
 	stores       []*storeProcess
 }
 
-// newFleet starts so many stores in two zones. The settings are the content of the
+// newStoreCluster starts so many stores in two zones. The settings are the content of the
 // element outputs.
-func newFleet(bin, dir string, stores int, settings string) (*fleet, error) {
-	f := &fleet{
+func newStoreCluster(bin, dir string, stores int, settings string) (*storeCluster, error) {
+	f := &storeCluster{
 		bin:          bin,
 		dir:          dir,
 		platformFile: filepath.Join(dir, "platform.toml"),
@@ -80,7 +80,7 @@
 	return f, nil
 }
 
-func (f *fleet) start(stores int, settings string) error {
+func (f *storeCluster) start(stores int, settings string) error {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return err
@@ -98,7 +98,7 @@
 			return err
 		}
 		zone := string(rune('a' + i%2))
-		f.stores = append(f.stores, &storeProcess{fleet: f, name: fmt.Sprint("s", i), zone: zone, addr: addr})
+		f.stores = append(f.stores, &storeProcess{cluster: f, name: fmt.Sprint("s", i), zone: zone, addr: addr})
 	}
 	for _, s := range f.stores {
 		if err := s.start(); err != nil {
@@ -111,14 +111,14 @@
 	return nil
 }
 
-func (f *fleet) stop() {
+func (f *storeCluster) stop() {
 	for _, s := range f.stores {
 		s.kill()
 	}
 	f.stateServer.Close()
 }
 
-func (f *fleet) addresses() []string {
+func (f *storeCluster) addresses() []string {
 	var addrs []string
 	for _, s := range f.stores {
 		addrs = append(addrs, s.addr)
@@ -137,14 +137,14 @@
 
 // storeProcess is a store of a fleet.
 type storeProcess struct {
-	fleet *fleet
-	name  string
-	zone  string
-	addr  string
-	cmd   *exec.Cmd // nil: it does not run
+	cluster *storeCluster
+	name    string
+	zone    string
+	addr    string
+	cmd     *exec.Cmd // nil: it does not run
 }
 
-func (s *storeProcess) dataDir() string { return filepath.Join(s.fleet.dir, s.name) }
+func (s *storeProcess) dataDir() string { return filepath.Join(s.cluster.dir, s.name) }
 
 // newClient returns a client of this store alone.
 func (s *storeProcess) newClient() (*client.Client, error) {
@@ -158,7 +158,7 @@
 		return err
 	}
 	defer log.Close()
-	cmd := exec.Command(s.fleet.bin, "serve", "--config", s.fleet.platformFile, "--operator", s.fleet.outputsFile,
+	cmd := exec.Command(s.cluster.bin, "serve", "--config", s.cluster.platformFile, "--operator", s.cluster.outputsFile,
 		"--name", s.name, "--zone", s.zone, "--listen", s.addr, "--data", s.dataDir())
 	cmd.Stderr = log
 	cmd.Env = append(os.Environ(), "LOG_LEVEL=error")
@@ -174,7 +174,7 @@
 			return nil
 		}
 	}
-	return fmt.Errorf("%s does not listen; its log is in %s", s.name, s.fleet.dir)
+	return fmt.Errorf("%s does not listen; its log is in %s", s.name, s.cluster.dir)
 }
 
 func (s *storeProcess) kill() {
--- a/cmd/outputsbench/kills.go
+++ b/cmd/outputsbench/kills.go
@@ -29,7 +29,7 @@
 // kills kills one store of two after the other, at random moments, while writers
 // write, and checks at the end that all that was acknowledged is read from each.
 func (o *options) kills(ctx context.Context, dir string) error {
-	f, err := newFleet(o.Bin, dir, 2, killSettings+noLimits)
+	f, err := newStoreCluster(o.Bin, dir, 2, killSettings+noLimits)
 	if err != nil {
 		return err
 	}
@@ -57,7 +57,7 @@
 }
 
 // startKillWriters starts writers, which write until stop is called.
-func (f *fleet) startKillWriters(ctx context.Context, ackedBlocks *atomic.Int64) (writers []*attemptWriter, stop func(), err error) {
+func (f *storeCluster) startKillWriters(ctx context.Context, ackedBlocks *atomic.Int64) (writers []*attemptWriter, stop func(), err error) {
 	text := logText(4, 8*mebibyte)
 	for i := range killWriters {
 		w, err := newAttemptWriter(f.addresses(), i)
@@ -100,7 +100,7 @@
 }
 
 // killInTurn kills the stores in turn and starts each again.
-func (f *fleet) killInTurn(kills int, ackedBlocks *atomic.Int64) error {
+func (f *storeCluster) killInTurn(kills int, ackedBlocks *atomic.Int64) error {
 	rnd := rand.New(rand.NewPCG(3, 3))
 	start := time.Now()
 	for i := range kills {
@@ -120,7 +120,7 @@
 
 // countWrongLogs reads each writer's log through each store, prints those that lack
 // something acknowledged, and counts them.
-func (f *fleet) countWrongLogs(ctx context.Context, writers []*attemptWriter) (int, error) {
+func (f *storeCluster) countWrongLogs(ctx context.Context, writers []*attemptWriter) (int, error) {
 	wrong := 0
 	for i, w := range writers {
 		for _, store := range f.stores {
--- a/cmd/outputsbench/large.go
+++ b/cmd/outputsbench/large.go
@@ -20,7 +20,7 @@
 
 // largeJob measures how long it takes to find things of a job of many tasks.
 func (o *options) largeJob(ctx context.Context, dir string) error {
-	f, err := newFleet(o.Bin, dir, 2, noLimits)
+	f, err := newStoreCluster(o.Bin, dir, 2, noLimits)
 	if err != nil {
 		return err
 	}
--- a/cmd/outputsbench/latency.go
+++ b/cmd/outputsbench/latency.go
@@ -22,7 +22,7 @@
 // latency measures the time from a line that a task writes until a reader who
 // follows it at another store has it.
 func (o *options) latency(ctx context.Context, dir string) error {
-	f, err := newFleet(o.Bin, dir, 2, noLimits)
+	f, err := newStoreCluster(o.Bin, dir, 2, noLimits)
 	if err != nil {
 		return err
 	}
--- a/cmd/outputsbench/repair.go
+++ b/cmd/outputsbench/repair.go
@@ -27,7 +27,7 @@
 // repair measures how long it takes to replace a member that is lost with its disk,
 // and one to come back that lacks almost nothing.
 func (o *options) repair(ctx context.Context, dir string) error {
-	f, err := newFleet(o.Bin, dir, 3, repairSettings+noLimits)
+	f, err := newStoreCluster(o.Bin, dir, 3, repairSettings+noLimits)
 	if err != nil {
 		return err
 	}
@@ -47,7 +47,7 @@
 
 // awaitTwoCopies waits until so many attempts are held twice, and returns how long
 // that took.
-func (f *fleet) awaitTwoCopies(ctx context.Context, attempts int) (time.Duration, error) {
+func (f *storeCluster) awaitTwoCopies(ctx context.Context, attempts int) (time.Duration, error) {
 	stores, err := f.stores[0].newClient()
 	if err != nil {
 		return 0, err
@@ -67,7 +67,7 @@
 	return 0, errors.New("not whole in 5 minutes")
 }
 
-func (f *fleet) measureLostMember(ctx context.Context, lost *storeProcess, attempts int) error {
+func (f *storeCluster) measureLostMember(ctx context.Context, lost *storeProcess, attempts int) error {
 	lost.kill()
 	lostMB := float64(lost.diskBytes()) / megabyte
 	os.RemoveAll(lost.dataDir())
@@ -81,7 +81,7 @@
 	return nil
 }
 
-func (f *fleet) measureReturningMember(ctx context.Context, away *storeProcess, attempts int) error {
+func (f *storeCluster) measureReturningMember(ctx context.Context, away *storeProcess, attempts int) error {
 	away.kill()
 	if err := f.writeLateAttempt(ctx); err != nil {
 		return err
@@ -99,7 +99,7 @@
 }
 
 // writeLateAttempt writes an attempt at the first store.
-func (f *fleet) writeLateAttempt(ctx context.Context) error {
+func (f *storeCluster) writeLateAttempt(ctx context.Context) error {
 	w, err := newAttemptWriter(f.addresses()[:1], lateTask)
 	if err != nil {
 		return err
--- a/cmd/outputsbench/restart.go
+++ b/cmd/outputsbench/restart.go
@@ -17,7 +17,7 @@
 // restart measures the time until a store that was killed answers again: at once
 // after writes, a while later, and after the loss of its index.
 func (o *options) restart(ctx context.Context, dir string) error {
-	f, err := newFleet(o.Bin, dir, 1, "<copies>1</copies>"+noLimits)
+	f, err := newStoreCluster(o.Bin, dir, 1, "<copies>1</copies>"+noLimits)
 	if err != nil {
 		return err
 	}
--- a/cmd/outputsbench/throughput.go
+++ b/cmd/outputsbench/throughput.go
@@ -101,7 +101,7 @@
 	if err := os.MkdirAll(caseDir, 0o755); err != nil {
 		return err
 	}
-	f, err := newFleet(o.Bin, caseDir, c.stores, fmt.Sprintf("<copies>%d</copies>", c.stores)+noLimits)
+	f, err := newStoreCluster(o.Bin, caseDir, c.stores, fmt.Sprintf("<copies>%d</copies>", c.stores)+noLimits)
 	if err != nil {
 		return err
 	}
@@ -122,7 +122,7 @@
 }
 
 // runWriters lets the writers of a case write for the time of a rate.
-func (o *options) runWriters(ctx context.Context, f *fleet, c throughputCase, text []byte, counts *writeCounts) error {
+func (o *options) runWriters(ctx context.Context, f *storeCluster, c throughputCase, text []byte, counts *writeCounts) error {
 	ctx, cancel := context.WithTimeout(ctx, o.RateDuration)
 	defer cancel()
 	var writers sync.WaitGroup
@@ -164,7 +164,7 @@
 	if err := os.WriteFile(file, bytes.Repeat(text, repeats), 0o644); err != nil {
 		return err
 	}
-	f, err := newFleet(o.Bin, dir, 1, "<copies>1</copies>"+noLimits)
+	f, err := newStoreCluster(o.Bin, dir, 1, "<copies>1</copies>"+noLimits)
 	if err != nil {
 		return err
 	}
@@ -181,7 +181,7 @@
 }
 
 // captureCommand is a capture of one task that ships to the first store.
-func (o *options) captureCommand(f *fleet, more ...string) *exec.Cmd {
+func (o *options) captureCommand(f *storeCluster, more ...string) *exec.Cmd {
 	args := []string{"--job", benchJob, "--task", "0", "--try", "1", "--team", "red", "--to", f.stores[0].addr, "--spool", filepath.Join(f.dir, "spool")}
 	cmd := exec.Command(o.capturePath(), append(args, more...)...)
 	cmd.Stderr = os.Stderr
--- a/cmd/outputsbench/writer.go
+++ b/cmd/outputsbench/writer.go
@@ -49,7 +49,7 @@
 		stores:  stores,
 		secret:  secret,
 		digest:  outputs.NewDigest(),
-		attempt: &pb.Attempt{Job: benchJob, Task: uint32(task), Try: 1, Team: "red", Machine: "bench", Stint: 1, Run: outputs.RunOf(secret)},
+		attempt: &pb.Attempt{Job: benchJob, Task: uint32(task), Try: 1, Team: "red", Machine: "bench", Stint: 1, Run: outputs.RunFromSecret(secret)},
 	}
 }
 
@@ -131,7 +131,7 @@
 
 // fill writes attempts of a size each until there are so many bytes, and returns
 // how many attempts that were.
-func (f *fleet) fill(ctx context.Context, total int64, attemptBytes int) (int, error) {
+func (f *storeCluster) fill(ctx context.Context, total int64, attemptBytes int) (int, error) {
 	text := logText(2, 64*mebibyte)
 	attempts := int(total / int64(attemptBytes))
 	tasks := make(chan int, attempts)
@@ -150,7 +150,7 @@
 
 // fillTasks writes the attempts of tasks from a channel, and ends at the first
 // failure.
-func (f *fleet) fillTasks(ctx context.Context, tasks <-chan int, text []byte, attemptBytes int) error {
+func (f *storeCluster) fillTasks(ctx context.Context, tasks <-chan int, text []byte, attemptBytes int) error {
 	stores, err := client.New(f.addresses(), "", "")
 	if err != nil {
 		return err
--- a/internal/outputs/attempt.go
+++ b/internal/outputs/attempt.go
@@ -21,17 +21,17 @@
 	runBytes = 16
 )
 
-// RunOf returns the public name of the writer with a secret. Only who knows the secret
+// RunFromSecret returns the public name of the writer with a secret. Only who knows the secret
 // can add to attempts of that name, so that no store has to remember whose an attempt
 // is.
-func RunOf(secret []byte) []byte {
+func RunFromSecret(secret []byte) []byte {
 	sum := sha256.Sum256(secret)
 	return sum[:runBytes]
 }
 
 // OwnsAttempt reports whether a secret is the one behind an attempt's run.
 func OwnsAttempt(a *pb.Attempt, secret []byte) bool {
-	return len(secret) >= runBytes && subtle.ConstantTimeCompare(a.GetRun(), RunOf(secret)) == 1
+	return len(secret) >= runBytes && subtle.ConstantTimeCompare(a.GetRun(), RunFromSecret(secret)) == 1
 }
 
 // CheckAttempt checks the fields of an attempt. Every error is a *protocol.BadField.
@@ -140,7 +140,7 @@
 	return key[:min(len(key), at+4)]
 }
 
-// Name returns an attempt as people read it.
-func Name(a *pb.Attempt) string {
+// FormatAttempt returns an attempt as people read it.
+func FormatAttempt(a *pb.Attempt) string {
 	return fmt.Sprintf("%s/%d try %d on %s.%d.%x", a.Job, a.Task, a.Try, a.Machine, a.Stint, a.Run[:min(2, len(a.Run))])
 }
--- a/internal/outputs/capture/artefacts.go
+++ b/internal/outputs/capture/artefacts.go
@@ -54,7 +54,7 @@
 	}
 	root, err := os.OpenRoot(taskDir)
 	if err != nil {
-		return nil, []refusedFile{{Path: outputs.PathName(taskDir), Reason: reasonOf(err)}}
+		return nil, []refusedFile{{Path: outputs.EscapePath(taskDir), Reason: reasonOf(err)}}
 	}
 	defer root.Close()
 	c := &collector{root: root, spoolDir: spoolDir, maxBytes: maxBytes}
@@ -103,7 +103,7 @@
 
 func (c *collector) refuse(name, reason string) {
 	if len(c.refused) < outputs.MaxFiles {
-		c.refused = append(c.refused, refusedFile{Path: outputs.PathName(name), Reason: reason})
+		c.refused = append(c.refused, refusedFile{Path: outputs.EscapePath(name), Reason: reason})
 	}
 }
 
@@ -129,7 +129,7 @@
 	if errors.As(err, &pathError) {
 		err = pathError.Err
 	}
-	text := outputs.PathName(err.Error())
+	text := outputs.EscapePath(err.Error())
 	return text[:min(len(text), maxReasonBytes)]
 }
 
@@ -162,7 +162,7 @@
 		}
 	}()
 	f = &collectedFile{
-		Path:      outputs.PathName(name),
+		Path:      outputs.EscapePath(name),
 		ChangedNs: info.ModTime().UnixNano(),
 		Mode:      uint32(info.Mode().Perm()),
 		Copy:      copyName,
@@ -185,7 +185,7 @@
 	if !info.Mode().IsRegular() {
 		return errNotRegular
 	}
-	if err := outputs.CheckPath(outputs.PathName(name)); err != nil {
+	if err := outputs.CheckPath(outputs.EscapePath(name)); err != nil {
 		return err
 	}
 	if size := uint64(info.Size()); size > room {
--- a/internal/outputs/capture/run.go
+++ b/internal/outputs/capture/run.go
@@ -89,7 +89,7 @@
 // openSpool makes the spool of an attempt, with its description.
 func openSpool(c *Config) (*spool.Spool, error) {
 	a := &c.Attempt
-	run := hex.EncodeToString(outputs.RunOf(a.Secret)[:runNameBytes])
+	run := hex.EncodeToString(outputs.RunFromSecret(a.Secret)[:runNameBytes])
 	name := fmt.Sprintf("%s.%d.%d.%s", a.Job, a.Task, a.Try, run)
 	sp, err := spool.Open(filepath.Join(c.Spool, name), c.SpoolBytes, tailBytes(c.Limits))
 	if err != nil {
--- a/internal/outputs/capture/shiprecords.go
+++ b/internal/outputs/capture/shiprecords.go
@@ -59,7 +59,7 @@
 			return err
 		}
 		switch {
-		case st.isWorthSending(batch):
+		case st.shouldSend(batch):
 			st.send(ctx, batch)
 		case len(st.pending) > 0:
 			if err := st.waitForPending(); err != nil {
@@ -90,9 +90,9 @@
 	return st.shipper.spool.Read(st.sent, maxBatchBytes)
 }
 
-// isWorthSending reports whether to send a batch now: beside others only if it is
+// shouldSend reports whether to send a batch now: beside others only if it is
 // large.
-func (st *recordStream) isWorthSending(batch []*pb.Record) bool {
+func (st *recordStream) shouldSend(batch []*pb.Record) bool {
 	if len(batch) == 0 {
 		return false
 	}
--- a/internal/outputs/capture/state.go
+++ b/internal/outputs/capture/state.go
@@ -38,7 +38,7 @@
 		Team:    a.Team,
 		Machine: a.Machine,
 		Stint:   a.Stint,
-		Run:     outputs.RunOf(a.Secret),
+		Run:     outputs.RunFromSecret(a.Secret),
 	}
 }
 
--- a/internal/outputs/check.go
+++ b/internal/outputs/check.go
@@ -51,7 +51,7 @@
 	if len(s.Digest) != sha256.Size {
 		return sealField("digest", "must hold 32 bytes")
 	}
-	if len(s.Signal) > maxSignalBytes || PathName(s.Signal) != s.Signal {
+	if len(s.Signal) > maxSignalBytes || EscapePath(s.Signal) != s.Signal {
 		return sealField("signal", "must be a signal's name")
 	}
 	if len(s.Artefacts) > MaxFiles || len(s.Refused) > MaxFiles {
--- a/internal/outputs/cluster/bench_test.go
+++ b/internal/outputs/cluster/bench_test.go
@@ -49,7 +49,7 @@
 	b.Cleanup(func() { store.Close() })
 	var batch []*pb.Entry
 	for i := range uint32(100000) {
-		key := outputs.Key(&pb.Attempt{Job: "wk-1", Task: i, Try: 1, Team: "red", Machine: "host-000017", Stint: 1, Run: outputs.RunOf([]byte("0123456789abcdef"))})
+		key := outputs.Key(&pb.Attempt{Job: "wk-1", Task: i, Try: 1, Team: "red", Machine: "host-000017", Stint: 1, Run: outputs.RunFromSecret([]byte("0123456789abcdef"))})
 		batch = append(batch, &pb.Entry{Key: key, What: &pb.Entry_Seal{Seal: &pb.Seal{Cause: "exit", Digest: make([]byte, 32)}}})
 		if len(batch) == 1000 {
 			if err := store.Put(b.Context(), batch...); err != nil {
--- a/internal/outputs/cluster/node.go
+++ b/internal/outputs/cluster/node.go
@@ -207,7 +207,7 @@
 			return !n.isSelf(r.member) && r.held.Complete
 		})
 		a, _ := outputs.ParseKey(key)
-		slog.Error("attempt digest mismatched", "attempt", outputs.Name(a), "repairable", repairable)
+		slog.Error("attempt digest mismatched", "attempt", outputs.FormatAttempt(a), "repairable", repairable)
 		if repairable {
 			err = errors.Join(err, n.store.Invalidate(key))
 		}
--- a/internal/outputs/cluster/overreplicated_test.go
+++ b/internal/outputs/cluster/overreplicated_test.go
@@ -58,7 +58,7 @@
 
 // keyPlacedOn returns the key of an attempt whose only replica belongs on a member.
 func keyPlacedOn(v *View, member int) []byte {
-	run := outputs.RunOf([]byte("0123456789abcdef"))
+	run := outputs.RunFromSecret([]byte("0123456789abcdef"))
 	for task := uint32(0); ; task++ {
 		key := outputs.Key(&pb.Attempt{Job: "wk-1", Task: task, Try: 1, Team: "red", Machine: "m", Stint: 1, Run: run})
 		if v.Replicas(outputs.Route(key), 1)[0] == member {
--- a/internal/outputs/cluster/read.go
+++ b/internal/outputs/cluster/read.go
@@ -131,7 +131,7 @@
 		r.failedAt[source.member.Name] = time.Now()
 	}
 	if r.next == before && ctx.Err() == nil {
-		if until := outputs.Spans(source.held.Spans).RunEnd(r.next); until > r.next && r.request.SinceNs > 0 {
+		if until := outputs.Spans(source.held.Spans).SpanEnd(r.next); until > r.next && r.request.SinceNs > 0 {
 			r.next = until // all of it is older than asked for
 		} else if until > r.next { // it did not have what it said
 			r.failedAt[source.member.Name] = time.Now()
@@ -172,7 +172,7 @@
 // to wait for it.
 func (r *attemptReader) pickReplica(list []replica) (replica, bool) {
 	for _, c := range list {
-		if r.mayRead(c) && outputs.Spans(c.held.Spans).RunEnd(r.next) > r.next {
+		if r.mayRead(c) && outputs.Spans(c.held.Spans).SpanEnd(r.next) > r.next {
 			return c, true
 		}
 	}
--- a/internal/outputs/daemon/writer_test.go
+++ b/internal/outputs/daemon/writer_test.go
@@ -37,7 +37,7 @@
 	return &testWriter{
 		cluster: c,
 		secret:  secret,
-		attempt: &pb.Attempt{Job: testJob, Task: task, Try: attempt, Team: "red", Machine: "host-1", Stint: 1, Run: outputs.RunOf(secret)},
+		attempt: &pb.Attempt{Job: testJob, Task: task, Try: attempt, Team: "red", Machine: "host-1", Stint: 1, Run: outputs.RunFromSecret(secret)},
 	}
 }
 
@@ -141,14 +141,14 @@
 		return nil
 	})
 	if err != nil {
-		return fmt.Errorf("%s: %w", outputs.Name(w.attempt), err)
+		return fmt.Errorf("%s: %w", outputs.FormatAttempt(w.attempt), err)
 	}
 	if len(got) < len(w.acked) || hole || w.sealed && !intact {
-		return fmt.Errorf("%s: %d records of %d, hole %v, intact %v", outputs.Name(w.attempt), len(got), len(w.acked), hole, intact)
+		return fmt.Errorf("%s: %d records of %d, hole %v, intact %v", outputs.FormatAttempt(w.attempt), len(got), len(w.acked), hole, intact)
 	}
 	for i, record := range got {
 		if !isSameRecord(record, w.record(uint64(i))) {
-			return fmt.Errorf("%s: record %d is %v", outputs.Name(w.attempt), i, record)
+			return fmt.Errorf("%s: record %d is %v", outputs.FormatAttempt(w.attempt), i, record)
 		}
 	}
 	return nil
--- a/internal/outputs/disk/blocks.go
+++ b/internal/outputs/disk/blocks.go
@@ -91,7 +91,7 @@
 		return false
 	}
 	// A block that was found damaged is not in the spans.
-	return q.spans.RunEnd(first) >= end
+	return q.spans.SpanEnd(first) >= end
 }
 
 // isPast reports whether a block and all after it lie beyond the bound.
@@ -195,7 +195,7 @@
 		return
 	}
 	end := ref.first + uint64(ref.place.Count)
-	if a.spans().RunEnd(ref.first) < end {
+	if a.spans().SpanEnd(ref.first) < end {
 		return
 	}
 	slog.Error("block is damaged", "segment", ref.place.Segment, "offset", ref.place.Offset, "first", ref.first, "records", ref.place.Count)
--- a/internal/outputs/disk/helpers_test.go
+++ b/internal/outputs/disk/helpers_test.go
@@ -15,7 +15,7 @@
 )
 
 func testAttempt(task uint32, try uint64) *pb.Attempt {
-	return &pb.Attempt{Job: "wk-000007", Task: task, Try: try, Team: "red", Machine: "host-1", Stint: 1, Run: outputs.RunOf([]byte("a secret of a writer"))}
+	return &pb.Attempt{Job: "wk-000007", Task: task, Try: try, Team: "red", Machine: "host-1", Stint: 1, Run: outputs.RunFromSecret([]byte("a secret of a writer"))}
 }
 
 // testRecord returns the record of an attempt with a number; it is always the same.
--- a/internal/outputs/fuzz_test.go
+++ b/internal/outputs/fuzz_test.go
@@ -14,7 +14,7 @@
 func FuzzUnpack(f *testing.F) {
 	good := Pack([]*pb.Record{{Seq: 4, AtNs: 9, Stream: 1, Data: []byte("a\n")}, {Seq: 5, Stream: 2, Data: []byte("b")}}, false)
 	raw, _ := proto.Marshal(good)
-	key := Key(&pb.Attempt{Job: "wk-1", Team: "red", Machine: "m", Run: RunOf([]byte("0123456789abcdef"))})
+	key := Key(&pb.Attempt{Job: "wk-1", Team: "red", Machine: "m", Run: RunFromSecret([]byte("0123456789abcdef"))})
 	f.Add(raw, key)
 	f.Add(raw[:len(raw)/2], key[:10])
 	f.Add([]byte{}, []byte{0, 0, 0})
--- a/internal/outputs/outputs_test.go
+++ b/internal/outputs/outputs_test.go
@@ -37,7 +37,7 @@
 			}
 		}
 		other := rapid.SliceOf(rapid.SampledFrom([]byte("a\\x0\x1b\xff\n{}u"))).Draw(t, "other")
-		name, otherName := PathName(string(text)), PathName(string(other))
+		name, otherName := EscapePath(string(text)), EscapePath(string(other))
 		if (name == otherName) != bytes.Equal(text, other) {
 			t.Fatalf("%q and %q are named %q and %q", text, other, name, otherName)
 		}
@@ -90,8 +90,8 @@
 				}
 			}
 			gotAfter, gotHas := s.Next(i)
-			if (s.RunEnd(i) > i) != set[i] || s.RunEnd(i) != until || (missing.RunEnd(i) > i) == set[i] || gotHas != has || has && gotAfter != after {
-				t.Fatalf("at %d: %v, until %d, after %d", i, s, s.RunEnd(i), gotAfter)
+			if (s.SpanEnd(i) > i) != set[i] || s.SpanEnd(i) != until || (missing.SpanEnd(i) > i) == set[i] || gotHas != has || has && gotAfter != after {
+				t.Fatalf("at %d: %v, until %d, after %d", i, s, s.SpanEnd(i), gotAfter)
 			}
 		}
 		if int(s.Count()) != len(set) {
@@ -103,7 +103,7 @@
 // A key gives its attempt back and orders attempts; all attempts of a task have one
 // route.
 func TestKeyRoundTripAndOrder(t *testing.T) {
-	a := &pb.Attempt{Job: "wk-000412", Task: 3, Try: 2, Team: "red", Machine: "host-1", Stint: 4, Run: RunOf([]byte("0123456789abcdef"))}
+	a := &pb.Attempt{Job: "wk-000412", Task: 3, Try: 2, Team: "red", Machine: "host-1", Stint: 4, Run: RunFromSecret([]byte("0123456789abcdef"))}
 	got, err := ParseKey(Key(a))
 	if err != nil || !proto.Equal(got, a) {
 		t.Fatalf("%v, %v", got, err)
--- a/internal/outputs/serve/download.go
+++ b/internal/outputs/serve/download.go
@@ -41,7 +41,7 @@
 		if raw {
 			w.Header().Set("Content-Type", "application/octet-stream")
 		}
-		w.Header().Set("Reedtrack-Attempt", outputs.Name(s.Attempt))
+		w.Header().Set("Reedtrack-Attempt", outputs.FormatAttempt(s.Attempt))
 		w.WriteHeader(http.StatusOK)
 	}
 	err = p.reader.read(c.Request().Context(), q, func(m *pb.ReadResponse) error {
@@ -85,7 +85,7 @@
 		case r.Stream == pb.Stream_STREAM_GAP:
 			var gap pb.Gap
 			if proto.Unmarshal(r.Data, &gap) == nil && !raw {
-				to = append(append(to, outputs.GapText(&gap)...), '\n')
+				to = append(append(to, outputs.FormatGap(&gap)...), '\n')
 			}
 		case raw:
 			to = append(to, r.Data...)
--- a/internal/outputs/serve/pages.go
+++ b/internal/outputs/serve/pages.go
@@ -167,5 +167,5 @@
 	if queryFlag(c, "json") {
 		return writeJSON(c, d)
 	}
-	return render(c, filesPage, filesPageData{Name: outputs.Name(s.Attempt), Summary: d.Summary, Seal: d.Seal})
+	return render(c, filesPage, filesPageData{Name: outputs.FormatAttempt(s.Attempt), Summary: d.Summary, Seal: d.Seal})
 }
--- a/internal/outputs/serve/pages_test.go
+++ b/internal/outputs/serve/pages_test.go
@@ -45,7 +45,7 @@
 	t.Helper()
 	ctx := context.Background()
 	c := outputsv1connect.NewWriterServiceClient(http.DefaultClient, d.URL)
-	a := &pb.Attempt{Job: "wk-000008", Task: task, Try: 1, Team: "red", Machine: "<script>alert(1)", Stint: 1, Run: outputs.RunOf(secret)}
+	a := &pb.Attempt{Job: "wk-000008", Task: task, Try: 1, Team: "red", Machine: "<script>alert(1)", Stint: 1, Run: outputs.RunFromSecret(secret)}
 	list := []*pb.Record{{Seq: 0, AtNs: 1, Stream: 1, Data: []byte("<b>\x1b]0;owned\x07</b>\n")}, {Seq: 1, AtNs: 2, Stream: 2, Data: []byte("last\n")}}
 	d1 := outputs.NewDigest()
 	for _, r := range list {
@@ -63,7 +63,7 @@
 	if _, err := c.Append(ctx, connect.NewRequest(&pb.AppendRequest{Attempt: a, Secret: secret, Block: outputs.Pack(list, false)})); err != nil {
 		t.Fatal(err)
 	}
-	f := &pb.Artefact{Path: outputs.PathName("out/<i>\x1b?#&\n"), Size: uint64(len(data)), Sha256: make([]byte, 32), Chunks: chunks, ChunkSize: outputs.ChunkSize}
+	f := &pb.Artefact{Path: outputs.EscapePath("out/<i>\x1b?#&\n"), Size: uint64(len(data)), Sha256: make([]byte, 32), Chunks: chunks, ChunkSize: outputs.ChunkSize}
 	if _, err := c.Seal(ctx, connect.NewRequest(&pb.SealRequest{Attempt: a, Secret: secret, Seal: &pb.Seal{Records: 2, Exit: 1, Cause: "exit", Digest: d1.Sum(), Artefacts: []*pb.Artefact{f}}})); err != nil {
 		t.Fatal(err)
 	}
@@ -151,7 +151,7 @@
 	wc := outputsv1connect.NewWriterServiceClient(http.DefaultClient, d.URL)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	open := &pb.Attempt{Job: "wk-000008", Task: 1, Try: 1, Team: "red", Machine: "m", Stint: 1, Run: outputs.RunOf(secret)}
+	open := &pb.Attempt{Job: "wk-000008", Task: 1, Try: 1, Team: "red", Machine: "m", Stint: 1, Run: outputs.RunFromSecret(secret)}
 	if _, err := wc.Open(ctx, connect.NewRequest(&pb.OpenRequest{Attempt: open, Secret: secret, Meta: &pb.Meta{}})); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/outputs/serve/reader.go
+++ b/internal/outputs/serve/reader.go
@@ -119,7 +119,7 @@
 	}
 	artefact := findArtefact(d.Seal, q.Path)
 	if artefact == nil {
-		return connect.NewError(connect.CodeNotFound, fmt.Errorf("%s has no artefact %s", outputs.Name(q.Attempt), outputs.PathName(q.Path)))
+		return connect.NewError(connect.CodeNotFound, fmt.Errorf("%s has no artefact %s", outputs.FormatAttempt(q.Attempt), outputs.EscapePath(q.Path)))
 	}
 	if q.Offset > artefact.Size {
 		return badField("offset", fmt.Sprintf("the artefact has %d bytes", artefact.Size))
--- a/internal/outputs/spans.go
+++ b/internal/outputs/spans.go
@@ -67,9 +67,9 @@
 	return out
 }
 
-// RunEnd returns the end of the range that holds a record, or the record itself if it
+// SpanEnd returns the end of the range that holds a record, or the record itself if it
 // is not in the set.
-func (s Spans) RunEnd(seq uint64) uint64 {
+func (s Spans) SpanEnd(seq uint64) uint64 {
 	for _, x := range s {
 		if x.From <= seq && seq < x.To {
 			return x.To
--- a/internal/outputs/text.go
+++ b/internal/outputs/text.go
@@ -45,9 +45,9 @@
 	return to
 }
 
-// PathName returns a file's path as it is kept and shown: nothing in it can control a
+// EscapePath returns a file's path as it is kept and shown: nothing in it can control a
 // terminal, and no two paths have the same name.
-func PathName(p string) string { return string(escape(nil, []byte(p), false)) }
+func EscapePath(p string) string { return string(escape(nil, []byte(p), false)) }
 
 // gapReasons are the reasons of a gap as readers are told them.
 var gapReasons = map[string]string{
@@ -57,8 +57,8 @@
 	"lost":  "they were lost with the machine's spool",
 }
 
-// GapText returns the line that stands for a gap in a log.
-func GapText(g *pb.Gap) string {
+// FormatGap returns the line that stands for a gap in a log.
+func FormatGap(g *pb.Gap) string {
 	more := ""
 	if g.Unknown {
 		more = "at least "
