--- a/internal/outputs/attempt.go
+++ b/internal/outputs/attempt.go
@@ -13,28 +13,29 @@
 )
 
 const (
-	// MaxName bounds the names of teams, machines and classes, in bytes.
+	// MaxName is the maximum length of the name of a team, machine or class, in bytes.
 	MaxName = 100
-	// maxTasks bounds the tasks of a job array.
+	// maxTasks is the maximum number of tasks in a job array.
 	maxTasks = 100000
-	// runBytes is the length of a run; a secret has at least as many.
+	// runBytes is the length of a run ID and the minimum length of a secret.
 	runBytes = 16
 )
 
-// RunFromSecret returns the public name of the writer with a secret. Only who knows the secret
-// can add to attempts of that name, so that no store has to remember whose an attempt
-// is.
+// RunFromSecret returns the run ID of a writer, which is derived from its secret. Only a
+// client that knows the secret can append to attempts with this run ID, so stores don't
+// have to record which client owns an attempt.
 func RunFromSecret(secret []byte) []byte {
 	sum := sha256.Sum256(secret)
 	return sum[:runBytes]
 }
 
-// OwnsAttempt reports whether a secret is the one behind an attempt's run.
+// OwnsAttempt reports whether an attempt's run ID is derived from the secret.
 func OwnsAttempt(a *pb.Attempt, secret []byte) bool {
 	return len(secret) >= runBytes && subtle.ConstantTimeCompare(a.GetRun(), RunFromSecret(secret)) == 1
 }
 
-// CheckAttempt checks the fields of an attempt. Every error is a *protocol.BadField.
+// CheckAttempt validates the fields of an attempt. Every error is a
+// *protocol.InvalidFieldError.
 func CheckAttempt(a *pb.Attempt) error {
 	if !protocol.ValidJobID(a.GetJob()) {
 		return &protocol.InvalidFieldError{Field: "attempt.job", Reason: "must look like wk-000412"}
@@ -54,7 +55,7 @@
 	return nil
 }
 
-// CheckName checks the name of a team, a machine or a class.
+// CheckName validates the name of a team, machine or class.
 func CheckName(field, name string) error {
 	if name == "" || len(name) > MaxName {
 		return &protocol.InvalidFieldError{Field: field, Reason: fmt.Sprintf("must hold 1 to %d bytes", MaxName)}
@@ -67,8 +68,8 @@
 	return nil
 }
 
-// Key returns an attempt as bytes, by whose order attempts are listed: by job, team,
-// task, try, machine, stint, run. Names end with a zero byte; numbers are big-endian.
+// Key encodes an attempt as a byte string that sorts in listing order: by job, team,
+// task, try, machine, stint, run. Strings are zero-terminated; integers are big-endian.
 func Key(a *pb.Attempt) []byte {
 	k := JobPrefix(a.Job, a.Team)
 	k = binary.BigEndian.AppendUint32(k, a.Task)
@@ -78,8 +79,8 @@
 	return append(k, a.Run...)
 }
 
-// JobPrefix returns what the keys of a job's attempts begin with: those of a team, or
-// of all teams if it is empty.
+// JobPrefix returns the key prefix of a job's attempts that belong to a team, or to any
+// team if team is empty.
 func JobPrefix(job, team string) []byte {
 	k := append([]byte(job), 0)
 	if team != "" {
@@ -88,14 +89,14 @@
 	return k
 }
 
-// TaskPrefix returns what the keys of a task's attempts of a team begin with.
+// TaskPrefix returns the key prefix of a task's attempts that belong to a team.
 func TaskPrefix(job, team string, task uint32) []byte {
 	return binary.BigEndian.AppendUint32(JobPrefix(job, team), task)
 }
 
 var errKey = errors.New("not an attempt's key")
 
-// ParseKey returns the attempt of a key.
+// ParseKey decodes a key into its attempt.
 func ParseKey(k []byte) (*pb.Attempt, error) {
 	a := new(pb.Attempt)
 	name := func() string {
@@ -125,9 +126,9 @@
 	return a, nil
 }
 
-// Route returns the part of a key that decides which members hold an attempt: job,
-// team and task. All attempts of a task are held together, so that a file that each of
-// them leaves is stored once.
+// Route returns the part of a key that determines which members store an attempt: job,
+// team and task. All attempts of a task are stored on the same members, so that a file
+// that several of them produce is stored only once.
 func Route(key []byte) []byte {
 	at := 0
 	for range 2 {
@@ -140,7 +141,7 @@
 	return key[:min(len(key), at+4)]
 }
 
-// FormatAttempt returns an attempt as people read it.
+// FormatAttempt formats an attempt for display.
 func FormatAttempt(a *pb.Attempt) string {
 	return fmt.Sprintf("%s/%d try %d on %s.%d.%x", a.Job, a.Task, a.Try, a.Machine, a.Stint, a.Run[:min(2, len(a.Run))])
 }
--- a/internal/outputs/block.go
+++ b/internal/outputs/block.go
@@ -10,26 +10,26 @@
 	pb "reedtrack/internal/outputs/outputsv1"
 )
 
-// Bounds of what travels and is kept, before compression.
+// Limits on transmitted and stored data, before compression.
 const (
-	MaxRecord = 64 << 10 // bytes of data of one record
-	MaxBlock  = 1 << 20  // bytes of data of the records of one block
-	ChunkSize = 1 << 20  // bytes of a chunk of an artefact; the last one may be smaller
-	MaxChunks = 1 << 14  // chunks of one attempt's artefacts, together
-	MaxFiles  = 1000     // artefacts of one attempt
+	MaxRecord = 64 << 10 // data bytes per record
+	MaxBlock  = 1 << 20  // data bytes per block, over all of its records
+	ChunkSize = 1 << 20  // bytes per artefact chunk; the last one may be smaller
+	MaxChunks = 1 << 14  // chunks per attempt, over all of its artefacts
+	MaxFiles  = 1000     // artefacts per attempt
 )
 
-// Errors of what comes from the network or the disk.
+// Errors for invalid data from the network or the disk.
 var (
 	ErrBlock = errors.New("not a block of records")
 	ErrChunk = errors.New("not the chunk that it is called")
 )
 
-// Pack makes a block of records, which follow each other; see [Compress].
+// Pack encodes consecutive records as a compressed block; for compact, see [Compress].
 func Pack(records []*pb.Record, compact bool) *pb.Block {
 	raw, err := proto.Marshal(&pb.Records{Records: records})
 	if err != nil {
-		panic(err) // bytes and numbers only
+		panic(err) // records have only bytes and integers, which always marshal
 	}
 	return &pb.Block{
 		First: records[0].Seq,
@@ -39,8 +39,8 @@
 	}
 }
 
-// Unpack reads a block and checks all of it: the records are in order, of a known
-// stream and within bounds. Every error is an ErrBlock.
+// Unpack decodes and validates a block: its records must be in order, belong to a known
+// stream and be within the size limits. Every error wraps ErrBlock.
 func Unpack(b *pb.Block) ([]*pb.Record, error) {
 	raw, err := decompress(b.GetZstd())
 	if err != nil {
@@ -81,8 +81,8 @@
 
 var newline = []byte{'\n'}
 
-// CountRecords counts the bytes and lines of records, and what their gaps say is
-// missing.
+// CountRecords counts the bytes and lines of records, and the missing bytes that gap
+// records report.
 func CountRecords(records []*pb.Record) *pb.Tally {
 	t := new(pb.Tally)
 	for _, r := range records {
@@ -107,7 +107,7 @@
 	return t
 }
 
-// AddCounts adds the counts t to another.
+// AddCounts adds the counts in t to another tally.
 func AddCounts(to, t *pb.Tally) {
 	to.StdoutBytes += t.GetStdoutBytes()
 	to.StdoutLines += t.GetStdoutLines()
@@ -120,8 +120,9 @@
 	to.LastNs = max(to.LastNs, t.GetLastNs())
 }
 
-// SubtractCounts takes the counts t off others. The times of those stay: which record
-// was the first and the last is not known afterwards.
+// SubtractCounts subtracts the counts in t from another tally. It leaves the first and
+// last times of that tally unchanged, because they can't be derived from the counts of
+// the remaining records.
 func SubtractCounts(from, t *pb.Tally) {
 	from.StdoutBytes -= min(from.StdoutBytes, t.GetStdoutBytes())
 	from.StdoutLines -= min(from.StdoutLines, t.GetStdoutLines())
--- a/internal/outputs/capture/admission.go
+++ b/internal/outputs/capture/admission.go
@@ -12,62 +12,65 @@
 	"reedtrack/internal/outputs/spool"
 )
 
-// Limits of an attempt's output; 0: none.
+// Limits are the limits on an attempt's output. 0 means no limit on bytes, and no delay
+// of the task.
 type Limits struct {
-	Bytes          uint64 // in all; of what exceeds it the end is kept
+	Bytes          uint64 // total; of output beyond it, only the end is kept
 	BytesPerSecond uint64
-	MaxDelay       time.Duration // of the task in all; it is regained slowly
+	MaxDelay       time.Duration // total delay of the task; the budget recovers slowly
 }
 
 const (
-	// delayRegainDivisor is the part of the time passed that the task may be delayed
-	// again.
+	// delayRegainDivisor is the rate at which the delay budget recovers: by elapsed time
+	// divided by it.
 	delayRegainDivisor = 50
-	// fullSpoolDelay is for how long the task is delayed before a full spool is tried
-	// again.
+	// fullSpoolDelay is how long the task is delayed before a write to a full spool is
+	// retried.
 	fullSpoolDelay = 100 * time.Millisecond
-	// burstOverhead is added to the burst of the rate for the frames of a tail.
+	// burstOverhead is added to the burst size of the rate limiter to cover the framing
+	// of a tail.
 	burstOverhead = 64 << 10
 )
 
-// Bounds of the tail of an output, and its part of the whole.
+// Minimum and maximum size of the tail of an output. In between, the tail is the total
+// limit divided by tailDivisor.
 const (
 	minTailBytes = 64 << 10
 	maxTailBytes = 4 << 20
 	tailDivisor  = 16
 )
 
-// Reasons of a gap, as readers are told.
+// Reason codes of a gap, as stored in its record.
 const (
 	reasonSize  = "size"
 	reasonRate  = "rate"
 	reasonSpool = "spool"
-	reasonNone  = "" // there is a tail already, whose reason counts
+	reasonNone  = "" // a tail exists already and keeps its own reason
 )
 
-// admission decides what becomes of each record: it is queued in the spool; or the task
-// is delayed for a moment, which is bounded; or the record goes to the tail, of which
-// the end is kept. Records are queued again when the rate and the spool have room for
-// what is in the tail.
+// admission applies the limits to each record: it adds the record to the queue of the
+// spool, if necessary after delaying the task for a bounded time, or else to the tail of
+// the spool, which keeps only the most recent records. Records go to the queue again
+// once the rate limit and the spool can take the contents of the tail.
 type admission struct {
 	spool     *spool.Spool
 	tailBytes int64
 	now       func() time.Time
 	sleep     func(time.Duration)
-	added     chan struct{} // signalled when there is something to ship
+	added     chan struct{} // signalled when there are records to ship
 
 	mu            sync.Mutex
 	limits        Limits
 	rate          *rate.Limiter // nil: no limit
-	addedBytes    uint64        // queued so far
-	delayed       time.Duration // of the task, less what it has regained
-	delayedAt     time.Time     // when delayed was last brought up to date
-	sizeReached   bool          // the rest goes to the tail until the end
+	addedBytes    uint64        // bytes queued so far
+	delayed       time.Duration // used part of the delay budget
+	delayedAt     time.Time     // when delayed was last updated
+	sizeReached   bool          // all further output goes to the tail
 	failureLogged bool
 }
 
-// tailBytes returns how much of the end is kept, at least, of an output that exceeds
-// its limits.
+// tailBytes returns the minimum number of bytes to keep from the end of an output that
+// exceeds its limits.
 func tailBytes(l Limits) int64 {
 	if l.Bytes == 0 {
 		return maxTailBytes
@@ -88,7 +91,8 @@
 	return a
 }
 
-// setLimits sets the limits, which the stores may tell while the task runs.
+// setLimits replaces the limits. It may be called while the task runs, when the stores
+// report theirs.
 func (a *admission) setLimits(l Limits) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -97,12 +101,13 @@
 		a.rate = nil
 		return
 	}
-	// A whole tail has to be affordable at once when it joins the queue.
+	// The burst must allow a whole tail to be moved to the queue at once.
 	burst := max(2*int64(l.BytesPerSecond), 2*a.tailBytes+burstOverhead)
 	a.rate = rate.NewLimiter(rate.Limit(l.BytesPerSecond), int(burst))
 }
 
-// admit takes a record. It never fails: what can't be kept is counted.
+// admit queues a record or adds it to the tail. It never fails: data that can't be kept
+// is counted.
 func (a *admission) admit(r *pb.Record) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -128,16 +133,16 @@
 	a.signal()
 }
 
-// exceedsSize reports whether bytes more would exceed the beginning of the output that
-// is kept.
+// exceedsSize reports whether adding bytes would exceed the size limit of the queue: the
+// total limit less the space reserved for the tail.
 func (a *admission) exceedsSize(bytes int) bool {
 	limit := a.limits.Bytes
 	head := limit - min(limit, uint64(2*a.tailBytes))
 	return limit > 0 && a.addedBytes+uint64(bytes) > head
 }
 
-// reserveRate takes bytes from the rate, if need be by delaying the task, and reports
-// whether it could.
+// reserveRate takes bytes from the rate limiter and reports whether that succeeded. It
+// delays the task if necessary and if the delay budget allows.
 func (a *admission) reserveRate(bytes int) bool {
 	if a.rate == nil {
 		return true
@@ -155,8 +160,8 @@
 	return true
 }
 
-// queue adds a record to the queue of the spool, if need be by delaying the task, and
-// reports whether it could.
+// queue adds a record to the queue of the spool and reports whether that succeeded.
+// While the spool is full, it delays the task as far as the delay budget allows.
 func (a *admission) queue(r *pb.Record) bool {
 	for {
 		err := a.spool.Add(r)
@@ -170,27 +175,28 @@
 	}
 }
 
-// delay delays the task and reports whether it could. The caller holds mu, which is
-// released meanwhile.
+// delay delays the task, or returns false if the delay budget does not suffice. The
+// caller must hold mu, which is released during the delay.
 func (a *admission) delay(d time.Duration) bool {
 	if d > a.delayBudget(a.now()) {
 		return false
 	}
 	a.delayed += d
-	a.mu.Unlock() // the task's other stream may go on
+	a.mu.Unlock() // lets the reader of the task's other stream proceed
 	a.sleep(d)
 	a.mu.Lock()
 	return true
 }
 
-// delayBudget returns how long the task may be delayed now.
+// delayBudget returns the remaining delay budget, after crediting the elapsed time.
 func (a *admission) delayBudget(now time.Time) time.Duration {
 	a.delayed = max(0, a.delayed-now.Sub(a.delayedAt)/delayRegainDivisor)
 	a.delayedAt = now
 	return a.limits.MaxDelay - a.delayed
 }
 
-// tryEndTail ends a tail of some bytes if they may be shipped now.
+// tryEndTail moves a tail of the given size to the queue if the limits allow it, and
+// reports whether it did.
 func (a *admission) tryEndTail(bytes int64) bool {
 	if a.sizeReached {
 		return false
@@ -199,7 +205,7 @@
 	if a.rate != nil && a.rate.TokensAt(now) < float64(bytes) {
 		return false
 	}
-	if !a.spool.Fits(bytes + a.tailBytes) { // and some more, or a tail begins anew at once
+	if !a.spool.Fits(bytes + a.tailBytes) { // with a margin, so that a new tail does not begin at once
 		return false
 	}
 	if err := a.spool.EndTail(); err != nil {
@@ -220,7 +226,7 @@
 	}
 }
 
-// logFailure logs the first failure of the spool; the task goes on.
+// logFailure logs the first spool failure only; the task continues.
 func (a *admission) logFailure(err error) {
 	if !errors.Is(err, spool.ErrFull) && !a.failureLogged {
 		a.failureLogged = true
@@ -235,7 +241,7 @@
 	}
 }
 
-// close ends the tail: nothing more comes.
+// close moves the tail to the queue after the last record.
 func (a *admission) close() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/outputs/capture/admission_test.go
+++ b/internal/outputs/capture/admission_test.go
@@ -10,8 +10,8 @@
 	"reedtrack/internal/outputs/spool"
 )
 
-// A task that always writes faster than is kept is delayed for its 5 s and a fiftieth of
-// the time that passes, whatever it waits for, and no longer.
+// A task that constantly exceeds the rate limit or the spool's capacity is delayed by at
+// most its budget of 5 s plus a fiftieth of the elapsed time.
 func TestAdmissionDelayIsBounded(t *testing.T) {
 	const maxDelay = 5 * time.Second
 	for _, c := range []struct {
@@ -19,7 +19,7 @@
 		limits Limits
 	}{
 		{"rate", Limits{BytesPerSecond: 1 << 20, MaxDelay: maxDelay}},
-		{"spool that nobody empties", Limits{MaxDelay: maxDelay}},
+		{"spool that is never emptied", Limits{MaxDelay: maxDelay}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			sp, err := spool.Open(filepath.Join(t.TempDir(), "s"), 20<<20, 1<<20)
@@ -34,13 +34,13 @@
 			a.delayedAt = now
 			started := now
 			data := bytes.Repeat([]byte("x"), 60000)
-			for range 2000 { // 120 MB, at 60 MB a second where it is not delayed
+			for range 2000 { // 120 MB, at 60 MB/s without delays
 				a.admit(&pb.Record{AtNs: now.UnixNano(), Stream: 1, Data: data})
 				now = now.Add(time.Millisecond)
 			}
 			passed := now.Sub(started)
 			if limit := maxDelay + passed/delayRegainDivisor; delayed > limit || delayed < time.Second {
-				t.Errorf("delayed for %v in %v, at most %v", delayed, passed, limit)
+				t.Errorf("delayed for %v in %v, want between 1s and %v", delayed, passed, limit)
 			}
 		})
 	}
--- a/internal/outputs/capture/artefacts.go
+++ b/internal/outputs/capture/artefacts.go
@@ -18,11 +18,11 @@
 	"reedtrack/internal/outputs"
 )
 
-// maxReasonBytes is how much of the reason for a refusal is kept; see
+// maxReasonBytes is the length to which the reason for a refusal is truncated; see
 // [outputs.CheckSeal].
 const maxReasonBytes = 200
 
-// CheckPattern returns an error if a pattern of files to keep is not valid.
+// CheckPattern validates a glob pattern of files to keep.
 func CheckPattern(p string) error {
 	if p == "" || path.IsAbs(p) || slices.Contains(strings.Split(p, "/"), "..") {
 		return fmt.Errorf("pattern %q: must stay below the task's directory", p)
@@ -37,7 +37,7 @@
 type collector struct {
 	root     *os.Root
 	spoolDir string
-	maxBytes uint64 // of all files
+	maxBytes uint64 // total size of all files
 
 	files   []collectedFile
 	bytes   uint64
@@ -45,9 +45,9 @@
 	refused []refusedFile
 }
 
-// collect copies the files that patterns name from the task's directory into the
-// spool, as long as they fit. Nothing outside the directory is opened, whatever links
-// lead there; what is not kept is listed with the reason.
+// collect copies the files that match the patterns from the task's directory into the
+// spool, as far as they fit into maxBytes. It opens nothing outside the directory, even
+// through symbolic links. Files that are not kept are returned with the reason.
 func collect(taskDir, spoolDir string, patterns []string, maxBytes uint64) ([]collectedFile, []refusedFile) {
 	if len(patterns) == 0 {
 		return nil, nil
@@ -64,7 +64,7 @@
 	return c.files, c.refused
 }
 
-// find returns the files that patterns name, each once and in order.
+// find returns the names that match any of the patterns, sorted and without duplicates.
 func (c *collector) find(patterns []string) []string {
 	var names []string
 	for _, p := range patterns {
@@ -82,7 +82,7 @@
 	return slices.Compact(names)
 }
 
-// collect copies a file, or lists it as refused. Directories are passed over.
+// collect copies a file, or lists it as refused. It skips directories.
 func (c *collector) collect(name, copyName string) {
 	if len(c.files) == outputs.MaxFiles {
 		c.refuse(name, fmt.Sprintf("%d files are kept already", outputs.MaxFiles))
@@ -112,7 +112,7 @@
 	errNotRegular = errors.New("not a regular file")
 )
 
-// tooLargeError says that a file does not fit beside those that are kept.
+// tooLargeError reports that a file exceeds the space that is left for artefacts.
 type tooLargeError struct {
 	size uint64
 	room uint64
@@ -122,8 +122,8 @@
 	return fmt.Sprintf("too large: %d bytes, %d more may be kept", e.size, e.room)
 }
 
-// reasonOf returns an error as readers are told it: without the path, which is listed
-// beside it.
+// reasonOf returns the text of an error for readers, without the path, which is listed
+// separately.
 func reasonOf(err error) string {
 	var pathError *fs.PathError
 	if errors.As(err, &pathError) {
@@ -133,10 +133,10 @@
 	return text[:min(len(text), maxReasonBytes)]
 }
 
-// copyFile copies a file and sums up its chunks. A file that changes meanwhile is kept
-// as it was read.
+// copyFile copies a file and hashes its chunks. The copy of a file that changes
+// concurrently has the content that was read.
 func (c *collector) copyFile(name, copyName string) (f *collectedFile, err error) {
-	// Not blocking: a named pipe would wait for its writer.
+	// O_NONBLOCK, because opening a named pipe would otherwise block until it has a writer.
 	in, err := c.root.OpenFile(name, os.O_RDONLY|syscall.O_NONBLOCK, 0)
 	if err != nil {
 		return nil, err
@@ -177,7 +177,7 @@
 	return f, nil
 }
 
-// checkFile returns why a file is not kept.
+// checkFile returns an error if a file can't be kept.
 func checkFile(name string, info fs.FileInfo, room uint64) error {
 	if info.IsDir() {
 		return errDirectory
@@ -194,10 +194,12 @@
 	return nil
 }
 
-// errFileGrew says that a file has more bytes or chunks than may be kept.
+// errFileGrew reports that a file turned out to have more bytes or chunks than may be
+// kept.
 var errFileGrew = errors.New("the file grew")
 
-// copyChunks copies a file's content chunk by chunk, and sums up each and the whole.
+// copyChunks copies a file's content and computes the hashes of each chunk and of the
+// whole file.
 func (f *collectedFile) copyChunks(in io.Reader, out io.Writer, maxBytes uint64, maxChunks int) error {
 	whole, buf := sha256.New(), make([]byte, outputs.ChunkSize)
 	for {
--- a/internal/outputs/capture/capture_test.go
+++ b/internal/outputs/capture/capture_test.go
@@ -28,7 +28,7 @@
 	os.Exit(m.Run())
 }
 
-// testStore is a store that can be stopped, at an address that stays.
+// testStore is a store that can be stopped and restarted at the same address.
 type testStore struct {
 	t        *testing.T
 	addr     string
@@ -80,7 +80,7 @@
 		Stores: store.stores(), Spool: spool, SpoolBytes: 64 << 20, ArtefactBytes: 10 << 20, DrainTimeout: 20 * time.Second, PipeTimeout: time.Second, Command: command}
 }
 
-// attempts lists what the store has, oldest first.
+// attempts lists the attempts that the store has.
 func (store *testStore) attempts() []*pb.Summary {
 	store.t.Helper()
 	out, err := store.stores().List(context.Background(), &pb.ListRequest{Job: "wk-000005", Limit: 1000})
@@ -115,8 +115,8 @@
 	return b.String(), gaps, intact
 }
 
-// Of a task that writes as fast as it can and then crashes, the beginning and the end
-// are kept, and the gaps between say exactly how much is missing.
+// If a task exceeds its limits and then crashes, the beginning and the end of its output
+// are kept, and the gap records state exactly how much is missing.
 func TestFastTaskKeepsBeginningAndEnd(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -143,11 +143,11 @@
 	}
 	a := store.attempts()[0]
 	if a.Exit != 139 || a.Signal != "SIGSEGV" || !a.Sealed {
-		t.Errorf("listed as %v", a)
+		t.Errorf("listed as %v, want sealed with exit 139 by SIGSEGV", a)
 	}
 	text, gaps, intact := store.read(a.Attempt)
 	if len(gaps) == 0 || !intact {
-		t.Fatalf("%d gaps, intact %v", len(gaps), intact)
+		t.Fatalf("%d gaps, intact %v; want gaps in an intact output", len(gaps), intact)
 	}
 	missingBytes, missingLines := 0, 0
 	for _, g := range gaps {
@@ -157,17 +157,17 @@
 	rest := withoutGaps(text)
 	kept := len(rest) - len("last words\n")
 	if kept+missingBytes != lines*lineBytes || strings.Count(rest, "\n")-1+missingLines != lines {
-		t.Errorf("kept %d bytes and left out %d, of %d", kept, missingBytes, lines*lineBytes)
+		t.Errorf("%d bytes kept and %d reported missing, want %d in total", kept, missingBytes, lines*lineBytes)
 	}
 	if !strings.HasPrefix(text, "line 000000000001\nline 000000000002\n") || !strings.Contains(text, "line 000003000000\n") || !strings.Contains(text, "last words\n") {
-		t.Error("beginning or end missing")
+		t.Error("the beginning or the end of the output is missing")
 	}
 	if limits.Bytes > 0 && uint64(kept) > limits.Bytes+64<<10 {
-		t.Errorf("%d bytes kept of at most %d", kept, limits.Bytes)
+		t.Errorf("%d bytes kept, limit %d", kept, limits.Bytes)
 	}
 }
 
-// withoutGaps removes the gaps from what testStore.read returns.
+// withoutGaps removes the gap markers from a text returned by testStore.read.
 func withoutGaps(text string) string {
 	for strings.Contains(text, "<gap") {
 		i, j := strings.Index(text, "<gap"), strings.Index(text, ">")
@@ -176,9 +176,9 @@
 	return text
 }
 
-// While the store is away the task runs to its end; what is left in the spool is shipped
-// later, with the status that was seen.
-func TestOutputIsRecoveredAfterStoreWasAway(t *testing.T) {
+// A task runs to its end while the store is unavailable; Recover later ships its spool
+// with the exit status that was observed.
+func TestOutputIsRecoveredAfterStoreOutage(t *testing.T) {
 	store := newTestStore(t)
 	spool := t.TempDir()
 	c := store.config(spool, "sh", "-c", "echo one; echo two >&2; echo kept > f.txt; exit 7")
@@ -190,13 +190,13 @@
 		t.Fatalf("%+v, %v", st, err)
 	}
 	if took := time.Since(start); took > 5*time.Second {
-		t.Errorf("took %v", took)
+		t.Errorf("Run took %v with the store unavailable, want at most 5s", took)
 	}
 	store.start()
 	reported := 0
 	err = capture.Recover(context.Background(), spool, func(*capture.AttemptInfo) (*client.Client, error) { return store.stores(), nil }, 64<<20, 1<<20, func(string, error) { reported++ })
 	if err != nil || reported != 1 {
-		t.Fatalf("%d, %v", reported, err)
+		t.Fatalf("%d spools reported, want 1; error %v", reported, err)
 	}
 	a := store.attempts()[0]
 	text, _, intact := store.read(a.Attempt)
@@ -204,13 +204,13 @@
 		t.Errorf("%q, intact %v, %v", text, intact, a)
 	}
 	if left, _ := os.ReadDir(spool); len(left) != 0 {
-		t.Errorf("the spool keeps %v", left)
+		t.Errorf("the spool directory still contains %v", left)
 	}
 }
 
-// A store stops and returns while the task writes. The next attempt, and a second
-// writer of the same attempt, are kept apart from it.
-func TestConcurrentAttemptsAreKeptApart(t *testing.T) {
+// The outputs of two attempts, and of two writers of the same attempt, are stored
+// separately, even if the store restarts while a task writes.
+func TestAttemptsAreStoredSeparately(t *testing.T) {
 	store := newTestStore(t)
 	store.start()
 	spool := t.TempDir()
@@ -232,10 +232,10 @@
 	run(3, "host-1", "for i in 1 2 3 4 5 6 7 8 9 10; do echo first $i; sleep 0.1; done; exit 1")
 	<-back
 	run(4, "host-2", "echo second")
-	run(3, "host-1", "echo first again") // it resumed, and was started anew
+	run(3, "host-1", "echo first again") // a second writer of the same attempt
 	list := store.attempts()
 	if len(list) != 3 {
-		t.Fatalf("%d attempts", len(list))
+		t.Fatalf("%d attempts, want 3", len(list))
 	}
 	texts := map[string]bool{}
 	for _, a := range list {
@@ -250,12 +250,12 @@
 		want += fmt.Sprintf("first %d\n", i+1)
 	}
 	if !texts[want] || !texts["second\n"] || !texts["first again\n"] {
-		t.Errorf("%v", texts)
+		t.Errorf("outputs are %v", texts)
 	}
 }
 
-// Artefacts are kept by content, and nothing from outside the task's directory whatever
-// leads there; what is not kept is listed with the reason.
+// Artefacts are deduplicated by content, and nothing outside the task's directory is
+// read, even through symbolic links. Files that are not kept are listed with the reason.
 func TestArtefactsAreCollectedWithinTaskDirectory(t *testing.T) {
 	store := newTestStore(t)
 	store.start()
@@ -288,9 +288,9 @@
 		}
 	}
 	if st := store.daemon.Node.Store().Stats(); st.DiskBytes > 4<<20 {
-		t.Errorf("%d bytes on disk for the same content three times", st.DiskBytes)
+		t.Errorf("%d bytes on disk for one content of 3 MB in three files", st.DiskBytes)
 	}
-	// A fetch that was interrupted goes on where it was left.
+	// An interrupted fetch resumes from the partial file.
 	to := filepath.Join(t.TempDir(), "big")
 	if err := store.stores().Fetch(context.Background(), a, "out/big", to, nil); err != nil {
 		t.Fatal(err)
@@ -303,18 +303,18 @@
 			sent = have
 		}
 	}); err != nil || sent < 1234567 {
-		t.Fatalf("went on from %d, %v", sent, err)
+		t.Fatalf("resumed from %d, want at least 1234567; error %v", sent, err)
 	}
 	if again, _ := os.ReadFile(to); !bytes.Equal(again, whole) {
-		t.Error("another content")
+		t.Error("the resumed fetch returned different content")
 	}
-	// What was left is of something else: from the start.
+	// A partial file with other content is fetched again from the start.
 	os.WriteFile(to+".part", bytes.Repeat([]byte("?"), 2000000), 0o600)
 	if err := store.stores().Fetch(context.Background(), a, "out/big", to, nil); err != nil {
 		t.Fatal(err)
 	}
 	if again, _ := os.ReadFile(to); !bytes.Equal(again, whole) {
-		t.Error("another content after a wrong beginning")
+		t.Error("the fetch over a mismatched partial file returned different content")
 	}
 	for _, name := range []string{"../secret", "out/../../secret", "/etc/passwd", "out/link"} {
 		if err := store.stores().FetchTo(context.Background(), a, name, io.Discard, nil); err == nil {
@@ -323,13 +323,13 @@
 	}
 	for _, pattern := range []string{"../x", "/etc/*", "a/../../b", "", "[", "out/../../*"} {
 		if capture.CheckPattern(pattern) == nil {
-			t.Errorf("pattern %q was taken", pattern)
+			t.Errorf("invalid pattern %q was accepted", pattern)
 		}
 	}
 }
 
-// A line is readable while the task still runs, also by a reader that follows and loses
-// its connection; so are records since a time, and the last lines.
+// A following reader gets each line while the task is running, and resumes after its
+// connection is lost. Reads since a time and of the last lines return just those records.
 func TestFollowReadsRunningTask(t *testing.T) {
 	store := newTestStore(t)
 	store.start()
@@ -346,7 +346,7 @@
 	text := ""
 	start := time.Now()
 	back := make(chan struct{})
-	time.AfterFunc(300*time.Millisecond, func() { // the connection is lost meanwhile
+	time.AfterFunc(300*time.Millisecond, func() { // breaks the reader's connection
 		defer close(back)
 		store.stop()
 		store.start()
@@ -362,13 +362,13 @@
 		t.Fatalf("%q, %v", text, err)
 	}
 	if seen[len(seen)-1]-seen[0] < 300*time.Millisecond {
-		t.Errorf("came all at once: %v", seen)
+		t.Errorf("all lines were received at once, at %v", seen)
 	}
 	<-back
 	if err := <-done; err != nil {
 		t.Error(err)
 	}
-	// What was written since a time, by the writer's clock.
+	// Records since a time, by the writer's clock.
 	var third int64
 	got := ""
 	read := func(q *pb.ReadRequest) {
@@ -407,8 +407,8 @@
 	}
 }
 
-// A spool that can't be written does not stop the task, and a command that does not
-// exist is named in the log.
+// A task runs even if its spool can't be created. If the command does not exist, its
+// name is in the attempt's output.
 func TestTaskRunsWithoutSpool(t *testing.T) {
 	store := newTestStore(t)
 	store.start()
--- a/internal/outputs/capture/doc.go
+++ b/internal/outputs/capture/doc.go
@@ -1,13 +1,13 @@
-// Package capture runs a task's command on a worker, buffers what it writes in a spool
-// and ships that to the stores.
+// Package capture runs a task's command on a worker, buffers its output in a spool and
+// ships it to the stores.
 //
-// The task comes first: nothing that happens to the stores, the network or the spool
-// stops it, and its status is passed on whatever became of its output.
+// The task has priority over its output: no failure of the stores, the network or the
+// spool stops it, and its exit status is passed on even if output was lost.
 //
 //   - [Run] starts the command and reads its pipes.
-//   - An admission decides for each piece of output whether it is queued, the task is
-//     delayed, or the piece goes to the tail of the spool.
-//   - A shipper sends the queue to the stores, then the artefacts, and seals the
+//   - admission decides for each record whether to queue it, to delay the task, or to
+//     add the record to the tail of the spool.
+//   - shipper sends the queue and then the artefacts to the stores, and seals the
 //     attempt.
-//   - [Recover] ships what captures that were killed have left.
+//   - [Recover] ships the spools of captures that were killed.
 package capture
--- a/internal/outputs/capture/execute.go
+++ b/internal/outputs/capture/execute.go
@@ -15,26 +15,26 @@
 	pb "reedtrack/internal/outputs/outputsv1"
 )
 
-// Exit statuses of a command that did not run to its end, as shells have them.
+// Exit statuses of a command that did not exit by itself, by the convention of shells.
 const (
 	exitNotExecutable = 126
 	exitNotFound      = 127
-	exitSignalBase    = 128 // and the signal's number
+	exitSignalBase    = 128 // plus the signal number
 )
 
-// Status is how a command ended.
+// Status is the exit status of a command.
 type Status struct {
 	Exit   int
 	Signal syscall.Signal // 0: none
 }
 
-// execute runs the command and gives each piece that it writes to admit; nil: its
-// output goes where this process's does.
+// execute runs the command and passes its output to admit. If admit is nil, the command
+// inherits standard output and error.
 func execute(c *Config, admit func(*pb.Record)) (status Status, cause string, err error) {
 	cmd := exec.Command(c.Command[0], c.Command[1:]...)
 	cmd.Dir, cmd.Stdin = c.Attempt.Dir, os.Stdin
-	// A task whose capture was killed must not go on unseen. The signal is sent at the
-	// end of the thread that made the process, so that thread stays.
+	// A task must not outlive its capture. The kernel sends Pdeathsig when the thread that
+	// created the process exits, so the goroutine keeps that thread.
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
@@ -66,7 +66,7 @@
 	return status, cause, nil
 }
 
-// startFailureExit returns the exit status for a command that could not be started.
+// startFailureExit returns the exit status that reports a failed start.
 func startFailureExit(err error) int {
 	if errors.Is(err, exec.ErrNotFound) || errors.Is(err, os.ErrNotExist) {
 		return exitNotFound
@@ -74,7 +74,7 @@
 	return exitNotExecutable
 }
 
-// endStatus returns how a command ended.
+// endStatus returns the status of a command that has ended, and the cause of its end.
 func endStatus(state *os.ProcessState) (Status, string) {
 	ws, _ := state.Sys().(syscall.WaitStatus)
 	if ws.Signaled() {
@@ -83,7 +83,7 @@
 	return Status{Exit: ws.ExitStatus()}, causeExit
 }
 
-// forwardSignals passes signals on to a process until it has ended.
+// forwardSignals forwards signals to a process until it has ended.
 func forwardSignals(process *os.Process, signals <-chan os.Signal, ended <-chan struct{}) {
 	for {
 		select {
@@ -98,10 +98,11 @@
 // outputPipes are the pipes from a command's standard output and error.
 type outputPipes struct {
 	readers, writers []*os.File
-	wg               sync.WaitGroup // of the goroutines that read
+	wg               sync.WaitGroup // of the reading goroutines
 }
 
-// connect makes the pipes of a command that is about to start, and reads them.
+// connect creates the pipes of a command that has not been started, and starts reading
+// them.
 func (p *outputPipes) connect(cmd *exec.Cmd, admit func(*pb.Record)) error {
 	for _, stream := range []pb.Stream{pb.Stream_STREAM_STDOUT, pb.Stream_STREAM_STDERR} {
 		r, w, err := os.Pipe()
@@ -120,16 +121,16 @@
 	return nil
 }
 
-// closeWriters closes this process's ends to write to, so that the pipes end with the
-// command.
+// closeWriters closes this process's copies of the write ends, so that readers get EOF
+// when the command ends.
 func (p *outputPipes) closeWriters() {
 	for _, w := range p.writers {
 		w.Close()
 	}
 }
 
-// drain reads what is left in the pipes. Processes that the command has left running
-// may hold them open: they are cut off after the timeout.
+// drain reads the remaining data and closes the pipes. Child processes of the command may
+// still hold the write ends open, so it stops after the timeout.
 func (p *outputPipes) drain(timeout time.Duration) {
 	for _, r := range p.readers {
 		r.SetReadDeadline(time.Now().Add(timeout))
@@ -140,7 +141,7 @@
 	}
 }
 
-// readPipe gives what comes through a pipe to admit, piece by piece.
+// readPipe passes the data from a pipe to admit, one record for each read.
 func readPipe(r *os.File, stream pb.Stream, admit func(*pb.Record)) {
 	buf := make([]byte, outputs.MaxRecord)
 	for {
--- a/internal/outputs/capture/golden_test.go
+++ b/internal/outputs/capture/golden_test.go
@@ -9,8 +9,8 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// Spools outlive a capture, and one of another version may ship them. A field of a
-// spool's files that is renamed without its former JSON name fails here.
+// A spool may be shipped by a capture of another version than the one that wrote it, so
+// the JSON names in its files must not change.
 func TestSpoolFilesGolden(t *testing.T) {
 	raw, err := os.ReadFile("testdata/spool.golden")
 	if err != nil {
@@ -30,9 +30,9 @@
 		}
 	}
 	if names != "about zero,about full,ended zero,ended full,progress zero,progress full," {
-		t.Error("golden file has", names)
+		t.Error("golden file has rows", names)
 	}
 	if names := []string{attemptFile, resultFile, progressFile}; strings.Join(names, " ") != "about.json ended.json acked.json" {
-		t.Error("files are called", names)
+		t.Error("unexpected names of spool files:", names)
 	}
 }
--- a/internal/outputs/capture/recover.go
+++ b/internal/outputs/capture/recover.go
@@ -11,15 +11,15 @@
 	"reedtrack/internal/outputs/spool"
 )
 
-// exitUnknown is the exit status of a command whose end nobody saw.
+// exitUnknown is the exit status of a command whose end was not observed.
 const exitUnknown = -1
 
-// dialFunc returns the stores for an attempt.
+// dialFunc returns a client of the stores for an attempt.
 type dialFunc = func(*AttemptInfo) (*client.Client, error)
 
-// Recover ships what captures that were killed have left in a directory of spools, and
-// reports how it went with each. Spools on which a capture runs are passed over. Of
-// files that were not collected yet at most artefactBytes are.
+// Recover ships the spools in dir that killed captures have left, and reports the result
+// for each. It skips spools that are in use by a running capture. Artefacts that were not
+// collected yet are collected now, up to artefactBytes in total.
 func Recover(ctx context.Context, dir string, dial dialFunc, spoolBytes int64, artefactBytes uint64, report func(name string, err error)) error {
 	entries, err := os.ReadDir(dir)
 	if err != nil {
@@ -44,7 +44,7 @@
 	return failed
 }
 
-// recoverSpool ships one spool and removes it.
+// recoverSpool ships one spool and deletes it.
 func recoverSpool(ctx context.Context, path string, dial dialFunc, spoolBytes int64, artefactBytes uint64) error {
 	a := new(AttemptInfo)
 	if err := readJSON(filepath.Join(path, attemptFile), a); err != nil {
@@ -77,8 +77,9 @@
 	return os.RemoveAll(path)
 }
 
-// loadResult reads how the command ended. If it was killed together with its capture,
-// nobody saw how it ended, and its files are collected as they are now.
+// loadResult reads the result of the command from the spool. If the capture was killed
+// before it wrote one, the result has the cause lost, and the artefacts are collected in
+// their present state.
 func loadResult(path string, a *AttemptInfo, artefactBytes uint64) (*Result, error) {
 	result := new(Result)
 	err := readJSON(filepath.Join(path, resultFile), result)
--- a/internal/outputs/capture/run.go
+++ b/internal/outputs/capture/run.go
@@ -21,24 +21,24 @@
 
 const (
 	secretBytes  = 32
-	runNameBytes = 6 // of the run, in the name of a spool: enough to tell writers of one attempt apart
+	runNameBytes = 6 // of the run ID, in the name of a spool: enough to distinguish the writers of one attempt
 )
 
-// Config says what to run and where its output goes.
+// Config configures the capture of a command.
 type Config struct {
-	Attempt       AttemptInfo // without secret and beginning
+	Attempt       AttemptInfo // Run sets Secret and BegunNs
 	Stores        *client.Client
-	Spool         string        // directory of all spools of the machine
-	SpoolBytes    int64         // of this spool
-	Limits        Limits        // until the stores tell theirs; the lower ones hold
-	ArtefactBytes uint64        // of all artefacts together
-	DrainTimeout  time.Duration // after the command's end, for what is not shipped yet
-	PipeTimeout   time.Duration // after the command's end, for what its children still write
+	Spool         string        // parent directory of the machine's spools
+	SpoolBytes    int64         // maximum size of this spool
+	Limits        Limits        // combined with those of the stores; the lower one applies
+	ArtefactBytes uint64        // maximum total size of the artefacts
+	DrainTimeout  time.Duration // for shipping the remaining output after the command's end
+	PipeTimeout   time.Duration // for output of child processes after the command's end
 	Command       []string
 }
 
-// Run runs the command and ships what it writes. The status is the command's, whatever
-// became of its output; the error says what did.
+// Run runs the command and ships its output. The status is the command's even if its
+// output could not be kept or shipped; the error reports that.
 func Run(ctx context.Context, c Config) (Status, error) {
 	a := &c.Attempt
 	a.Secret = make([]byte, secretBytes)
@@ -46,7 +46,7 @@
 	a.BegunNs = time.Now().UnixNano()
 	sp, err := openSpool(&c)
 	if err != nil {
-		// The task is worth more than its output.
+		// Run the task even though its output can't be kept.
 		slog.Error("spool not opened", "spool", c.Spool, "err", err)
 		status, _, startErr := execute(&c, nil)
 		return status, errors.Join(fmt.Errorf("output not kept: %w", err), startErr)
@@ -86,7 +86,7 @@
 	return status, errors.Join(runErr, os.RemoveAll(sp.Dir()))
 }
 
-// openSpool makes the spool of an attempt, with its description.
+// openSpool creates the spool of an attempt and writes the attempt's description to it.
 func openSpool(c *Config) (*spool.Spool, error) {
 	a := &c.Attempt
 	run := hex.EncodeToString(outputs.RunFromSecret(a.Secret)[:runNameBytes])
@@ -102,7 +102,7 @@
 	return sp, nil
 }
 
-// newResult describes how a command ended, and copies the files that it left.
+// newResult returns the result of a command, and copies its artefacts to the spool.
 func newResult(c *Config, spoolDir string, status Status, cause string) *Result {
 	r := &Result{AtNs: time.Now().UnixNano(), Exit: int32(status.Exit), Cause: cause}
 	if status.Signal != 0 {
@@ -112,7 +112,7 @@
 	return r
 }
 
-// lowerLimit returns the lower of two limits, of which 0 is none.
+// lowerLimit returns the lower of two limits; 0 means no limit.
 func lowerLimit(a, b uint64) uint64 {
 	if a == 0 || b != 0 && b < a {
 		return b
--- a/internal/outputs/capture/seal.go
+++ b/internal/outputs/capture/seal.go
@@ -14,7 +14,7 @@
 	"reedtrack/internal/outputs/outputsv1/outputsv1connect"
 )
 
-// seal ships the artefacts and ends the attempt.
+// seal ships the artefacts and seals the attempt.
 func (s *shipper) seal(ctx context.Context, result *Result) error {
 	seal := &pb.Seal{
 		Records: s.acked,
@@ -26,14 +26,14 @@
 		Missing: s.missing,
 	}
 	if s.digestIncomplete {
-		seal.Digest = make([]byte, sha256.Size) // says nothing; see outputs.Unsure
+		seal.Digest = make([]byte, sha256.Size) // unknown; see outputs.IsUnknownDigest
 	}
 	for _, f := range result.Refused {
 		seal.Refused = append(seal.Refused, &pb.Refused{Path: f.Path, Reason: f.Reason})
 	}
 	size := uint64(0)
 	for _, f := range result.Files {
-		if s.maxArtefactBytes > 0 && size+f.Size > s.maxArtefactBytes { // collected before the stores' limit was known
+		if s.maxArtefactBytes > 0 && size+f.Size > s.maxArtefactBytes { // it was collected before the stores' limit was known
 			reason := fmt.Sprintf("too large: the stores take %d bytes of one attempt", s.maxArtefactBytes)
 			seal.Refused = append(seal.Refused, &pb.Refused{Path: f.Path, Reason: reason})
 			continue
@@ -61,7 +61,7 @@
 	}
 }
 
-// shipFile ships the chunks of a file that the stores do not have.
+// shipFile ships those chunks of a file that the stores lack.
 func (s *shipper) shipFile(ctx context.Context, f collectedFile) error {
 	missing, err := s.missingChunks(ctx, f)
 	if err != nil || len(missing) == 0 {
@@ -89,12 +89,12 @@
 		if _, err := call(ctx, s, request, outputsv1connect.WriterServiceClient.PutChunk); err != nil {
 			return err
 		}
-		delete(missing, string(hash)) // it may come again in the file
+		delete(missing, string(hash)) // the file may contain the same chunk more than once
 	}
 	return nil
 }
 
-// missingChunks returns the hashes of a file's chunks that the stores do not have.
+// missingChunks returns the hashes of those chunks of a file that the stores lack.
 func (s *shipper) missingChunks(ctx context.Context, f collectedFile) (map[string]bool, error) {
 	if len(f.Chunks) == 0 {
 		return nil, nil
--- a/internal/outputs/capture/shipper.go
+++ b/internal/outputs/capture/shipper.go
@@ -22,33 +22,34 @@
 
 var tracer = otel.Tracer("reedtrack/capture")
 
-// callTimeout bounds the wait for one store's answer, after which another one is asked.
+// callTimeout is the timeout of a request to one store, after which the next one is tried.
 const callTimeout = 10 * time.Second
 
-// shipper sends what is in a spool to the stores. One goroutine uses it.
+// shipper sends the contents of a spool to the stores. It is not safe for concurrent use.
 type shipper struct {
 	spool    *spool.Spool
 	attempt  *AttemptInfo
 	stores   *client.Client
-	added    <-chan struct{}        // signalled when something is added to the spool; nil: nothing is
-	onLimits func(*pb.OpenResponse) // told the limits of the stores; may be nil
+	added    <-chan struct{}        // signalled when records are added to the spool; nil if none will be
+	onLimits func(*pb.OpenResponse) // called with the limits of the stores; may be nil
 
-	acked            uint64          // records before it are acknowledged
-	digest           *outputs.Digest // of them
-	missing          *pb.Gap         // the sum of the gaps among them
-	digestIncomplete bool            // records were acknowledged that it does not cover
+	acked            uint64          // all records before this number are acknowledged
+	digest           *outputs.Digest // of the acknowledged records
+	missing          *pb.Gap         // sum of the gaps among the acknowledged records
+	digestIncomplete bool            // digest does not cover all acknowledged records
 	savedAt          time.Time       // when the progress was last written
-	maxArtefactBytes uint64          // as the stores say; 0: no limit
+	maxArtefactBytes uint64          // limit of the stores; 0: no limit
 }
 
-// newShipper returns a shipper that goes on from the progress in the spool.
+// newShipper returns a shipper that resumes from the progress saved in the spool.
 func newShipper(sp *spool.Spool, attempt *AttemptInfo, stores *client.Client) (*shipper, error) {
 	s := &shipper{spool: sp, attempt: attempt, stores: stores, digest: outputs.NewDigest(), missing: new(pb.Gap)}
 	if err := s.loadProgress(); err != nil {
 		return nil, err
 	}
 	if first, ok := sp.First(); ok && first > s.acked {
-		// More was acknowledged, and removed from the spool, than was noted.
+		// More records were acknowledged and removed from the spool than the saved
+		// progress covers.
 		s.acked, s.digestIncomplete = first, true
 	}
 	return s, nil
@@ -61,7 +62,7 @@
 		return nil
 	}
 	if err != nil {
-		// All of it is shipped again: the stores pass over what they have.
+		// Ship everything again: the stores ignore records that they already have.
 		slog.Warn("shipping progress not read", "spool", s.spool.Dir(), "err", err)
 		return nil
 	}
@@ -75,7 +76,7 @@
 	return nil
 }
 
-// saveProgress writes what the stores have acknowledged, and frees it in the spool.
+// saveProgress saves the progress, and then frees the acknowledged records in the spool.
 func (s *shipper) saveProgress() error {
 	s.savedAt = time.Now()
 	missing, _ := proto.Marshal(s.missing)
@@ -89,7 +90,7 @@
 // writerMethod is a method of the writer service, such as Append.
 type writerMethod[Q, A any] func(outputsv1connect.WriterServiceClient, context.Context, *connect.Request[Q]) (*connect.Response[A], error)
 
-// call sends one request until a store has answered it for good.
+// call sends a request, with retries, until a store returns a final answer.
 func call[Q, A any](ctx context.Context, s *shipper, request *Q, method writerMethod[Q, A]) (*A, error) {
 	var answer *A
 	err := s.stores.Retry(ctx, func(ctx context.Context, addr string) error {
@@ -104,7 +105,7 @@
 	return answer, err
 }
 
-// openAndShip opens the attempt and ships its records; see shipRecords.
+// openAndShip opens the attempt and calls shipRecords.
 func (s *shipper) openAndShip(ctx context.Context, ended <-chan struct{}) error {
 	if err := s.open(ctx); err != nil {
 		return err
@@ -112,8 +113,8 @@
 	return s.shipRecords(ctx, ended)
 }
 
-// open tells the stores of the attempt, and learns their limits and which of them to
-// send to.
+// open announces the attempt to the stores. The response has their limits and the
+// addresses of the preferred stores.
 func (s *shipper) open(ctx context.Context) error {
 	request := &pb.OpenRequest{Attempt: s.attempt.attempt(), Secret: s.attempt.Secret, Meta: s.attempt.meta()}
 	answer, err := call(ctx, s, request, outputsv1connect.WriterServiceClient.Open)
--- a/internal/outputs/capture/shiprecords.go
+++ b/internal/outputs/capture/shiprecords.go
@@ -14,25 +14,27 @@
 )
 
 const (
-	// maxBatchBytes is the data in one request: large enough to compress well, and
-	// half of what a block may hold.
+	// maxBatchBytes is the maximum data in one request: large enough to compress well,
+	// and half the maximum size of a block.
 	maxBatchBytes = 512 << 10
-	// minDelayedBytes is from which size on a batch does not wait for more.
+	// minDelayedBytes is the size from which a batch is sent without delay.
 	minDelayedBytes = maxBatchBytes / 8
-	// minParallelBytes is from which size on a batch is sent beside others.
+	// minParallelBytes is the size from which a batch is sent while others are pending.
 	minParallelBytes = maxBatchBytes / 2
-	// batchDelay is how long a small batch waits for more, so that a line is readable
-	// soon and a task that writes many lines does not send as many requests.
+	// batchDelay is how long a small batch waits for more records. It is short, so that
+	// a line soon becomes readable, but saves a request for each line of a task that
+	// writes many.
 	batchDelay = 100 * time.Millisecond
-	// maxPendingAppends is how many requests of one attempt run at once. The stores
-	// take blocks in any order; the spool is acknowledged in order.
+	// maxPendingAppends is the maximum number of concurrent requests of one attempt. The
+	// stores accept blocks in any order; the spool is acknowledged in order.
 	maxPendingAppends = 4
-	// saveInterval is the time between two writes of the progress. A capture that is
-	// killed sends again what came since, which costs little.
+	// saveInterval is the minimum time between two writes of the progress. After a
+	// capture is killed, the records acknowledged since the last write are sent again,
+	// which costs little.
 	saveInterval = 200 * time.Millisecond
 )
 
-// pendingAppend is a request that runs.
+// pendingAppend is a request in progress.
 type pendingAppend struct {
 	records []*pb.Record
 	done    chan error // buffered
@@ -41,14 +43,14 @@
 // recordStream is the state of shipRecords.
 type recordStream struct {
 	shipper *shipper
-	ended   <-chan struct{} // nil, or set to nil: it has been seen
-	isEnded bool            // the task: what is in the spool is all
-	sent    uint64          // records before it are sent
+	ended   <-chan struct{} // closed when the task has ended; nil once that was observed
+	isEnded bool            // the task has ended, so the spool is complete
+	sent    uint64          // all records before this number have been sent
 	pending []*pendingAppend
 }
 
-// shipRecords ships records until there are no more: of a task that runs, until ended
-// is closed, and all that was there then. nil stands for a task that has ended.
+// shipRecords ships records until ended is closed and all records in the spool are
+// acknowledged. A nil channel means that the task has already ended.
 func (s *shipper) shipRecords(ctx context.Context, ended <-chan struct{}) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -75,8 +77,8 @@
 	}
 }
 
-// nextBatch reads the records to send next. A small batch waits a little for more, if
-// nothing is under way meanwhile.
+// nextBatch reads the records to send next. If the batch is small and no request is
+// pending, it waits up to batchDelay for more.
 func (st *recordStream) nextBatch() ([]*pb.Record, error) {
 	batch, err := st.shipper.spool.Read(st.sent, maxBatchBytes)
 	if err != nil || st.isEnded || len(st.pending) > 0 || len(batch) == 0 || dataBytes(batch) >= minDelayedBytes {
@@ -90,8 +92,8 @@
 	return st.shipper.spool.Read(st.sent, maxBatchBytes)
 }
 
-// shouldSend reports whether to send a batch now: beside others only if it is
-// large.
+// shouldSend reports whether to send a batch now: while other requests are pending, only if
+// it is large.
 func (st *recordStream) shouldSend(batch []*pb.Record) bool {
 	if len(batch) == 0 {
 		return false
@@ -100,7 +102,7 @@
 	return running == 0 || running < maxPendingAppends && dataBytes(batch) >= minParallelBytes
 }
 
-// send starts to send a batch.
+// send starts a request with a batch.
 func (st *recordStream) send(ctx context.Context, batch []*pb.Record) {
 	p := &pendingAppend{records: batch, done: make(chan error, 1)}
 	go func() { p.done <- st.shipper.append(ctx, batch) }()
@@ -108,8 +110,8 @@
 	st.sent += uint64(len(batch))
 }
 
-// waitForPending waits until the first request that runs is answered, or there is
-// something new to look at.
+// waitForPending waits until the oldest pending request is answered, records are added,
+// or the task ends.
 func (st *recordStream) waitForPending() error {
 	select {
 	case err := <-st.pending[0].done:
@@ -127,7 +129,7 @@
 	return nil
 }
 
-// waitForRecords waits until there is something to send, or the task has ended.
+// waitForRecords waits until records are added or the task ends.
 func (st *recordStream) waitForRecords(ctx context.Context) error {
 	select {
 	case <-st.ended:
@@ -147,7 +149,7 @@
 	return n
 }
 
-// append sends records.
+// append sends records to the stores as one block.
 func (s *shipper) append(ctx context.Context, records []*pb.Record) error {
 	ctx, span := tracer.Start(ctx, "ship", trace.WithAttributes(attribute.Int("records", len(records)), attribute.Int("bytes", dataBytes(records))))
 	defer span.End()
@@ -160,7 +162,8 @@
 	return err
 }
 
-// acknowledge notes that the stores have some records, and all before them.
+// acknowledge records that the stores have acknowledged these records and all before
+// them.
 func (s *shipper) acknowledge(records []*pb.Record) error {
 	for _, r := range records {
 		s.digest.Add(r)
@@ -175,7 +178,7 @@
 	return s.saveProgress()
 }
 
-// addMissing adds a gap to the sum of them.
+// addMissing adds the counts of a gap record to missing.
 func (s *shipper) addMissing(r *pb.Record) {
 	var gap pb.Gap
 	if proto.Unmarshal(r.Data, &gap) != nil {
--- a/internal/outputs/capture/state.go
+++ b/internal/outputs/capture/state.go
@@ -8,10 +8,10 @@
 	pb "reedtrack/internal/outputs/outputsv1"
 )
 
-// Files that a capture keeps in its spool, beside the records.
+// Files of a spool, in addition to the records.
 const (
 	attemptFile  = "about.json" // an AttemptInfo
-	resultFile   = "ended.json" // a Result, when the command has ended
+	resultFile   = "ended.json" // a Result, once the command has ended
 	progressFile = "acked.json" // a progress
 )
 
@@ -24,7 +24,7 @@
 	Class   string   `json:"class,omitempty"`
 	Machine string   `json:"machine"`
 	Stint   uint64   `json:"stint"`
-	Secret  []byte   `json:"secret"` // proves to the stores that they hear from the attempt's writer
+	Secret  []byte   `json:"secret"` // authenticates the attempt's writer to the stores
 	BegunNs int64    `json:"begun_ns"`
 	Dir     string   `json:"dir"`  // of the task
 	Keep    []string `json:"keep"` // patterns of files to keep
@@ -46,21 +46,21 @@
 	return &pb.Meta{JobClass: a.Class, BegunNs: a.BegunNs}
 }
 
-// Attempt returns the attempt of a writer that has no secret yet, to be checked.
+// Attempt returns an attempt without a writer's secret, for validation.
 func Attempt(job string, task uint32, try uint64, team, machine string, stint uint64) *pb.Attempt {
 	a := AttemptInfo{Job: job, Task: task, Try: try, Team: team, Machine: machine, Stint: stint}
 	return a.attempt()
 }
 
-// Causes of a command's end, as a seal has them.
+// Causes of a command's end, as stored in a seal.
 const (
 	causeExit       = "exit"
 	causeSignal     = "signal"
 	causeNotStarted = "not_started"
-	causeLost       = "lost" // nobody saw how it ended
+	causeLost       = "lost" // its end was not observed
 )
 
-// Result is how a command ended, and the files that it left.
+// Result describes how a command ended, and lists its artefacts.
 type Result struct {
 	AtNs    int64           `json:"at_ns"`
 	Exit    int32           `json:"exit"`
@@ -70,29 +70,29 @@
 	Refused []refusedFile   `json:"left,omitempty"`
 }
 
-// collectedFile is a file that is kept, and where its copy is.
+// collectedFile is an artefact that was copied to the spool.
 type collectedFile struct {
 	Path      string   `json:"path"`
 	Size      uint64   `json:"size"`
 	ChangedNs int64    `json:"changed_ns"`
 	Mode      uint32   `json:"mode"`
 	SHA256    []byte   `json:"sha256"`
-	Chunks    [][]byte `json:"chunks"` // hashes
+	Chunks    [][]byte `json:"chunks"` // SHA-256 hashes
 	Copy      string   `json:"copy"`   // name in the spool
 }
 
-// refusedFile is a file, or a pattern, of which nothing is kept.
+// refusedFile is a file that was not kept, or a pattern without matches.
 type refusedFile struct {
 	Path   string `json:"path"`
 	Reason string `json:"reason"`
 }
 
-// progress is what the stores have acknowledged.
+// progress describes the records that the stores have acknowledged.
 type progress struct {
 	Seq              uint64 `json:"seq"`
-	Digest           []byte `json:"digest"`            // its state, to go on with
-	Missing          []byte `json:"missing,omitempty"` // the sum of all gaps so far
-	DigestIncomplete bool   `json:"unsure,omitempty"`  // the digest is not of everything
+	Digest           []byte `json:"digest"`            // hash state, see outputs.ResumeDigest
+	Missing          []byte `json:"missing,omitempty"` // encoded sum of all gaps so far
+	DigestIncomplete bool   `json:"unsure,omitempty"`  // the digest does not cover all records
 }
 
 func readJSON(path string, v any) error {
@@ -103,8 +103,7 @@
 	return json.Unmarshal(raw, v)
 }
 
-// writeJSON replaces a file in one step: a process that is killed in it leaves the old
-// one.
+// writeJSON replaces a file atomically: if the process is killed, the old file remains.
 func writeJSON(path string, v any) error {
 	raw, err := json.Marshal(v)
 	if err != nil {
--- a/internal/outputs/check.go
+++ b/internal/outputs/check.go
@@ -13,12 +13,12 @@
 )
 
 const (
-	maxPathBytes   = 4096 // of an artefact
-	maxReasonBytes = 200  // why an artefact was refused
-	maxSignalBytes = 20   // of a signal's name
+	maxPathBytes   = 4096 // of an artefact's path
+	maxReasonBytes = 200  // of the reason why an artefact was refused
+	maxSignalBytes = 20   // of a signal name
 )
 
-// CheckPath checks the name of an artefact, which PathName has made.
+// CheckPath validates the path of an artefact, as [EscapePath] returns it.
 func CheckPath(name string) error {
 	bad := func(why string) error { return &protocol.InvalidFieldError{Field: "artefact.path", Reason: why} }
 	switch {
@@ -35,13 +35,13 @@
 	return nil
 }
 
-// sealField returns an error about a field of a seal.
+// sealField returns a validation error for a field of a seal.
 func sealField(field, reason string) error {
 	return &protocol.InvalidFieldError{Field: "seal." + field, Reason: reason}
 }
 
-// CheckSeal checks a seal, whose artefacts may take artefactBytes (0: no bound). Every
-// error is a *protocol.BadField.
+// CheckSeal validates a seal, whose artefacts may have artefactBytes in total
+// (0: no limit). Every error is a *protocol.InvalidFieldError.
 func CheckSeal(s *pb.Seal, artefactBytes uint64) error {
 	switch s.GetCause() {
 	case "exit", "signal", "not_started", "lost":
@@ -73,7 +73,7 @@
 	return nil
 }
 
-// checkArtefacts checks each artefact, and returns their bytes and chunks in all.
+// checkArtefacts validates each artefact and returns their total bytes and chunks.
 func checkArtefacts(artefacts []*pb.Artefact) (size uint64, chunks int, err error) {
 	seen := map[string]bool{}
 	for _, f := range artefacts {
@@ -93,7 +93,7 @@
 	return size, chunks, nil
 }
 
-// checkChunks checks that the chunks of an artefact make up its size.
+// checkChunks checks that an artefact's list of chunks matches its size.
 func checkChunks(f *pb.Artefact) error {
 	needed := (f.Size + ChunkSize - 1) / ChunkSize
 	if f.ChunkSize != ChunkSize || uint64(len(f.Chunks)) != needed || len(f.Sha256) != sha256.Size {
--- a/internal/outputs/chunk.go
+++ b/internal/outputs/chunk.go
@@ -8,14 +8,14 @@
 	pb "reedtrack/internal/outputs/outputsv1"
 )
 
-// PackChunk makes a chunk of some of an artefact's bytes.
+// PackChunk encodes part of an artefact's content as a compressed chunk.
 func PackChunk(data []byte) *pb.Chunk {
 	sum := sha256.Sum256(data)
 	return &pb.Chunk{Sha256: sum[:], Size: uint32(len(data)), Zstd: Compress(data, false)}
 }
 
-// UnpackChunk reads a chunk and checks that it has the hash by which it is called.
-// Every error is an ErrChunk.
+// UnpackChunk decodes a chunk and verifies its content against its size and hash.
+// Every error wraps ErrChunk.
 func UnpackChunk(c *pb.Chunk) ([]byte, error) {
 	data, err := decompress(c.GetZstd())
 	if err != nil {
--- a/internal/outputs/client/auth.go
+++ b/internal/outputs/client/auth.go
@@ -6,7 +6,7 @@
 	"connectrpc.com/connect"
 )
 
-// bearerToken is an interceptor that sends itself as the bearer token.
+// bearerToken is an interceptor that adds its value to requests as the bearer token.
 type bearerToken string
 
 // BearerToken returns an interceptor that adds a token to the Authorization
@@ -34,7 +34,7 @@
 	}
 }
 
-// WrapStreamingHandler changes nothing: only clients send a token.
+// WrapStreamingHandler returns next unchanged, because only clients send a token.
 func (token bearerToken) WrapStreamingHandler(next connect.StreamingHandlerFunc) connect.StreamingHandlerFunc {
 	return next
 }
--- a/internal/outputs/client/client.go
+++ b/internal/outputs/client/client.go
@@ -1,11 +1,10 @@
-// Package client talks to the stores of task outputs: capture processes write
-// through it, and the commands logs, artefacts and fetch read through it.
+// Package client implements a client of the stores of task outputs. Captures use
+// it to write, and the commands logs, artefacts and fetch to read.
 //
-// Any store answers for all of them, so a [Client] holds a list of addresses and
-// [Client.Retry] moves on to the next one when a request fails for a reason that
-// another store, or a later time, may not share. Repeats wait with exponential
-// backoff and are bounded by a budget, so that clients don't overload stores that
-// are coming back.
+// Any store can serve any request, so a [Client] has a list of addresses, and
+// [Client.Retry] tries the next one when a request fails with a transient error or
+// an error of one store. Retries use exponential backoff and a retry budget, so
+// that clients don't overload stores that are recovering.
 package client
 
 import (
@@ -24,15 +23,15 @@
 )
 
 const (
-	// connectionsPerStore is how many idle connections to one store are kept. A
-	// client has one stream open and few requests beside it.
+	// connectionsPerStore is the maximum number of idle connections to one store. A
+	// client has one open stream and few other concurrent requests.
 	connectionsPerStore = 4
-	// maxMessageBytes bounds a message from a store, well above the largest block of
-	// records and the largest page of a listing.
+	// maxMessageBytes is the maximum size of a message from a store. It is well above
+	// the largest block of records and the largest page of a listing.
 	maxMessageBytes = 16 << 20
 
-	// A repeat costs the stores as much as a request: retryBurst at once, and then
-	// retriesPerSecond.
+	// The retry budget, as a retry costs the stores as much as a new request: a burst
+	// of retryBurst, and then retriesPerSecond.
 	retryBurst       = 10
 	retriesPerSecond = 1
 )
@@ -45,19 +44,19 @@
 	options     []connect.ClientOption
 	retryBudget *rate.Limiter
 
-	// OnUnavailable, if set, is called once with the latest error when no store has
-	// answered for a second. Set it before the first request.
+	// OnUnavailable, if set, is called once with the latest error when a request has
+	// failed at all stores for more than a second. Set it before the first request.
 	OnUnavailable func(err error)
 	notifyOnce    sync.Once
 
 	mu      sync.Mutex
 	addrs   []string
-	current int // index of the address that is asked next
+	current int // index of the address for the next request
 }
 
-// New returns a client of the stores at addresses that are each HOST:PORT or a
-// URL. It checks the addresses and opens no connection yet. With a CA file,
-// HOST:PORT means https.
+// New returns a client of the stores at addrs, each of which is HOST:PORT or a URL.
+// It validates the addresses but opens no connection. If there is a CA file, the
+// scheme for HOST:PORT is https.
 func New(addrs []string, token, caFile string, interceptors ...connect.Interceptor) (*Client, error) {
 	httpClient, err := access.NewHTTPClient(caFile, connectionsPerStore)
 	if err != nil {
@@ -88,7 +87,7 @@
 	return c, nil
 }
 
-// storeURL makes a URL of HOST:PORT, and checks one that is a URL already.
+// storeURL converts HOST:PORT to a URL, and validates an address that already is one.
 func storeURL(addr string, secure bool) (string, error) {
 	url := strings.TrimSuffix(addr, "/")
 	host := url
@@ -107,15 +106,15 @@
 	return url, nil
 }
 
-// maySendTokenTo reports whether a URL may be asked without showing the token, if
-// there is one, to the network.
+// maySendTokenTo reports whether requests to a URL don't expose the token on the
+// network: there is no token, or the URL uses TLS or is a loopback address.
 func (c *Client) maySendTokenTo(url string) bool {
 	return c.token == "" || strings.HasPrefix(url, "https://") || access.IsLoopback(strings.TrimPrefix(url, "http://"))
 }
 
-// PreferAddresses puts addresses first, in their order, before those known so far.
-// Stores name in their answers who is best asked next. An address that is no
-// HTTP URL or that must not see the token is left out.
+// PreferAddresses puts addresses before the known ones, in the given order. Stores
+// return the preferred addresses of an attempt in their responses. It ignores
+// addresses that are not HTTP URLs or that the token must not be sent to.
 func (c *Client) PreferAddresses(addrs []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -149,12 +148,12 @@
 	c.current = (c.current + 1) % len(c.addrs)
 }
 
-// Writer returns the service of one store that captures write to.
+// Writer returns a client of one store's service for captures.
 func (c *Client) Writer(addr string) outputsv1connect.WriterServiceClient {
 	return outputsv1connect.NewWriterServiceClient(c.http, addr, c.options...)
 }
 
-// Reader returns the service of one store that people read from.
+// Reader returns a client of one store's service for readers.
 func (c *Client) Reader(addr string) outputsv1connect.ReaderServiceClient {
 	return outputsv1connect.NewReaderServiceClient(c.http, addr, c.options...)
 }
--- a/internal/outputs/client/client_test.go
+++ b/internal/outputs/client/client_test.go
@@ -50,7 +50,7 @@
 		t.Errorf("addresses %v, want %v", got, want)
 	}
 	if got := c.currentAddress(); got != "http://c:1" {
-		t.Errorf("asks %s next, want the preferred one", got)
+		t.Errorf("next address is %s, want the preferred one", got)
 	}
 }
 
--- a/internal/outputs/client/fetch.go
+++ b/internal/outputs/client/fetch.go
@@ -15,22 +15,24 @@
 	"reedtrack/internal/outputs/outputsv1/outputsv1connect"
 )
 
-// ErrDamaged says that a file that was fetched is not the one that was kept.
+// ErrDamaged reports that the content of a fetched file does not match its recorded
+// size and hash.
 var ErrDamaged = errors.New("what was fetched is not what was kept")
 
-// partSuffix ends the name of a file that is being fetched.
+// partSuffix is appended to the name of a file while it is incomplete.
 const partSuffix = ".part"
 
-// modeMask is what is taken over of an artefact's mode: nobody but its owner may
-// write to a fetched file.
+// modeMask is applied to the mode of an artefact, so that only its owner can write to
+// the fetched file.
 const modeMask = 0o755
 
-// Progress is told how many bytes of a file have been fetched, and its size.
+// Progress is a callback that gets the number of bytes fetched so far and the size of
+// the file.
 type Progress func(fetched, size uint64)
 
-// Fetch writes an artefact to a file. The file appears under its name when it is
-// complete; before, its content stands beside it under the name with .part at the
-// end, and a later Fetch resumes there. progress may be nil.
+// Fetch downloads an artefact to a file. Until the download is complete, the content
+// is in a file with the suffix .part, from which a later Fetch resumes; it is then
+// renamed. progress may be nil.
 func (c *Client) Fetch(ctx context.Context, attempt *pb.Attempt, path, to string, progress Progress) error {
 	part := to + partSuffix
 	file, err := os.OpenFile(part, os.O_CREATE|os.O_RDWR, 0o644)
@@ -51,7 +53,7 @@
 	return os.Rename(part, to)
 }
 
-// resume fetches what a partly written file lacks.
+// resume downloads the part of an artefact that a partial file lacks.
 func (c *Client) resume(ctx context.Context, file *os.File, request *pb.FetchRequest, progress Progress) (*pb.Artefact, error) {
 	sum := sha256.New()
 	present, err := io.Copy(sum, file)
@@ -63,7 +65,7 @@
 	if !errors.Is(err, ErrDamaged) || present == 0 {
 		return artefact, err
 	}
-	// What was present may be of another attempt: once more from the start.
+	// The partial file may be of another attempt, so start from the beginning.
 	if err := file.Truncate(0); err != nil {
 		return nil, err
 	}
@@ -75,25 +77,25 @@
 	return c.download(ctx, request, sum, file, progress)
 }
 
-// FetchTo writes an artefact to a writer. progress may be nil.
+// FetchTo downloads an artefact to a writer. progress may be nil.
 func (c *Client) FetchTo(ctx context.Context, attempt *pb.Attempt, path string, to io.Writer, progress Progress) error {
 	_, err := c.download(ctx, &pb.FetchRequest{Attempt: attempt, Path: path}, sha256.New(), to, progress)
 	return err
 }
 
-// fileDownload receives one artefact over as many streams as it takes.
+// fileDownload downloads one artefact, over several streams if connections break.
 type fileDownload struct {
-	request  *pb.FetchRequest // Offset moves on with each message
+	request  *pb.FetchRequest // Offset advances with each message
 	sum      hash.Hash        // of the file's content up to Offset
 	to       io.Writer
 	progress Progress
 
-	artefact   *pb.Artefact // as the stores describe it, once one has
-	progressed bool         // the stream has brought data
+	artefact   *pb.Artefact // from the first message that has it
+	progressed bool         // the current stream has received data
 }
 
-// download fetches an artefact from the offset in the request on, and checks the
-// size and the hash of the whole.
+// download fetches an artefact from the offset in the request to its end, and verifies
+// the size and hash of the whole file.
 func (c *Client) download(ctx context.Context, request *pb.FetchRequest, sum hash.Hash, to io.Writer, progress Progress) (*pb.Artefact, error) {
 	start := request.Offset
 	d := &fileDownload{request: request, sum: sum, to: to, progress: progress}
@@ -108,7 +110,7 @@
 		case err == nil:
 			return d.artefact, nil
 		case connect.CodeOf(err) == connect.CodeInvalidArgument && start > 0:
-			return nil, ErrDamaged // what was present is longer than the file
+			return nil, ErrDamaged // the partial file is longer than the artefact
 		case IsPermanent(err) || !d.progressed || ctx.Err() != nil:
 			return nil, err
 		}
@@ -137,7 +139,7 @@
 	return nil
 }
 
-// isComplete reports whether what has been received is the file that was kept.
+// isComplete reports whether the received content matches the artefact's size and hash.
 func (d *fileDownload) isComplete() bool {
 	return d.artefact != nil && d.request.Offset == d.artefact.Size && bytes.Equal(d.sum.Sum(nil), d.artefact.Sha256)
 }
--- a/internal/outputs/client/list.go
+++ b/internal/outputs/client/list.go
@@ -12,14 +12,14 @@
 	"reedtrack/internal/outputs/outputsv1/outputsv1connect"
 )
 
-// unaryTimeout bounds one request to one store, so that one that hangs leaves time
-// to ask another within idleTimeout.
+// unaryTimeout is the timeout of a request to one store. It is below idleTimeout, so
+// that another store can be tried when one hangs.
 const unaryTimeout = 10 * time.Second
 
 // unaryMethod is a unary method of the reader service, as a method expression.
 type unaryMethod[Request, Response any] func(outputsv1connect.ReaderServiceClient, context.Context, *connect.Request[Request]) (*connect.Response[Response], error)
 
-// callUnary calls a method at one store after the other until one answers.
+// callUnary calls a method, with retries at all stores, until one gives a final answer.
 func callUnary[Request, Response any](ctx context.Context, c *Client, method unaryMethod[Request, Response], request *Request) (*Response, error) {
 	ctx, cancel := context.WithTimeout(ctx, idleTimeout)
 	defer cancel()
@@ -41,9 +41,9 @@
 	return callUnary(ctx, c, outputsv1connect.ReaderServiceClient.List, request)
 }
 
-// ListAll goes through all pages of a listing and ends at the first error. The
-// names of members that did not answer for one of the pages are added to
-// unreachable: what only they hold is missing from the listing.
+// ListAll iterates over all pages of a listing and stops at the first error. It adds
+// the names of members that did not answer to unreachable: attempts that only they
+// store are missing from the listing.
 func (c *Client) ListAll(ctx context.Context, request *pb.ListRequest, unreachable map[string]bool) iter.Seq2[*pb.Summary, error] {
 	return func(yield func(*pb.Summary, error) bool) {
 		request := proto.CloneOf(request)
--- a/internal/outputs/client/read.go
+++ b/internal/outputs/client/read.go
@@ -13,27 +13,27 @@
 	"reedtrack/internal/outputs/outputsv1/outputsv1connect"
 )
 
-// followTimeout stands in for no idle timeout: a task that is followed may write
-// nothing for days.
+// followTimeout effectively disables the idle timeout, because a followed task may
+// write nothing for days.
 const followTimeout = 365 * 24 * time.Hour
 
-// outputReader reads one attempt over as many streams as it takes.
+// outputReader reads one attempt, over several streams if connections break.
 type outputReader struct {
 	client  *Client
-	request *pb.ReadRequest // From moves on with each message
+	request *pb.ReadRequest // From advances with each message
 	handle  func(*pb.ReadResponse) error
 
-	readsAll bool // the request leaves nothing out, so the digest can be compared
+	readsAll bool // the request selects all records, so the digest can be verified
 	digest   *outputs.Digest
 	hasHole  bool
 
-	progressed bool // the stream has brought a message
-	ended      bool // the stream has brought the last message
+	progressed bool // the current stream has received a message
+	ended      bool // the current stream has received the last message
 }
 
-// Read reads an attempt's output and gives each message to handle, whose error
-// ends it. A connection that is lost is resumed where it broke, at the same store
-// or another.
+// Read reads an attempt's output and calls handle for each message. It stops at an
+// error of handle. After a lost connection it resumes at the next record, from the
+// same store or another one.
 func (c *Client) Read(ctx context.Context, request *pb.ReadRequest, handle func(*pb.ReadResponse) error) error {
 	reader := &outputReader{
 		client:   c,
@@ -73,8 +73,8 @@
 	}
 	r.hasHole = r.hasHole || message.Hole != nil
 	if message.End && !message.Intact && r.readsAll && !r.hasHole {
-		// The store that ends a resumed read has sent only a part, so it can't
-		// tell. All parts together are intact if they match the seal.
+		// After a resumed read, the last store has sent only some of the records and
+		// can't verify the digest, so compare that of all records with the seal.
 		message.Intact = r.matchesSeal(ctx)
 	}
 	if err := r.handle(message); err != nil {
@@ -85,7 +85,8 @@
 	return nil
 }
 
-// matchesSeal reports whether the records read so far are those that were sealed.
+// matchesSeal reports whether the digest of the records read so far equals the one in
+// the attempt's seal.
 func (r *outputReader) matchesSeal(ctx context.Context) bool {
 	description, err := r.client.Describe(ctx, r.request.Attempt)
 	return err == nil && description.Seal != nil && bytes.Equal(description.Seal.Digest, r.digest.Sum())
--- a/internal/outputs/client/retry.go
+++ b/internal/outputs/client/retry.go
@@ -13,22 +13,21 @@
 )
 
 const (
-	// minBackoff is the first pause between two requests; each one doubles it.
+	// minBackoff is the initial backoff, which doubles with each retry.
 	minBackoff = 100 * time.Millisecond
-	// maxBackoff bounds the pause, so that a store that is back is found soon.
+	// maxBackoff is the maximum backoff, so that a recovered store is soon found.
 	maxBackoff = 10 * time.Second
-	// maxRetryAfter bounds the pause that a store may ask for.
+	// maxRetryAfter is the maximum delay that a Retry-After header can request.
 	maxRetryAfter = 30 * time.Second
-	// unavailableNotice is how long requests fail before OnUnavailable is called:
-	// longer than the restart of one store among several takes to work around.
+	// unavailableNotice is how long a request fails before OnUnavailable is called. It
+	// is longer than it takes to fail over from a store that restarts.
 	unavailableNotice = time.Second
 )
 
-// ErrUnavailable says that no store gave a final answer before the context ended.
+// ErrUnavailable reports that no store gave a final answer before the context ended.
 var ErrUnavailable = errors.New("no store answered for good")
 
-// IsPermanent reports whether an error stays the same at every store and however
-// often the request is repeated.
+// IsPermanent reports whether a retry, at any store, would fail with the same error.
 func IsPermanent(err error) bool {
 	switch connect.CodeOf(err) {
 	case connect.CodeInvalidArgument,
@@ -44,9 +43,9 @@
 	return false
 }
 
-// Retry runs call with the address of one store after the other until it succeeds
-// or fails for a permanent reason (see [IsPermanent]), which Retry returns as it
-// is. When the context ends first, the error is [ErrUnavailable].
+// Retry runs call with the addresses of the stores in turn until it succeeds or fails
+// with a permanent error (see [IsPermanent]), which Retry returns unchanged. If the
+// context ends first, the error wraps [ErrUnavailable].
 func (c *Client) Retry(ctx context.Context, call func(ctx context.Context, addr string) error) error {
 	var backoff time.Duration
 	start := time.Now()
@@ -63,7 +62,7 @@
 		if c.OnUnavailable != nil && time.Since(start) > unavailableNotice {
 			c.notifyOnce.Do(func() { c.OnUnavailable(err) })
 		}
-		// A limit holds at every store; anything else may be better at the next.
+		// A rate limit applies at every store; after other errors, try the next one.
 		if connect.CodeOf(err) != connect.CodeResourceExhausted {
 			c.useNextAddress()
 		}
@@ -79,8 +78,8 @@
 	}
 }
 
-// explainPlainHTTP replaces the error that a TLS server gives to a request in
-// plain HTTP, which names neither.
+// explainPlainHTTP replaces the error that a TLS server returns for a plain HTTP
+// request, because its text mentions neither TLS nor plain HTTP.
 func explainPlainHTTP(addr string, err error) error {
 	if connect.CodeOf(err) == connect.CodeInternal && strings.HasPrefix(addr, "http://") && strings.Contains(err.Error(), "400 Bad Request") {
 		return connect.NewError(connect.CodeUnavailable, fmt.Errorf("%s does not speak plain HTTP; use https://, with a CA file if need be", addr))
@@ -88,7 +87,8 @@
 	return err
 }
 
-// retryAfter returns the Retry-After of an error response, or 0.
+// retryAfter returns the delay in the Retry-After header of an error response, up to
+// maxRetryAfter, or 0.
 func retryAfter(err error) time.Duration {
 	var connectErr *connect.Error
 	if !errors.As(err, &connectErr) {
@@ -101,7 +101,7 @@
 	return min(time.Duration(seconds)*time.Second, maxRetryAfter)
 }
 
-// sleep waits and reports whether the context lasted that long.
+// sleep waits for d, or returns false if the context ends earlier.
 func sleep(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/internal/outputs/client/retry_test.go
+++ b/internal/outputs/client/retry_test.go
@@ -12,7 +12,7 @@
 
 var errUnreachable = connect.NewError(connect.CodeUnavailable, errors.New("unreachable"))
 
-func TestRetryAsksNextStoreAfterFailure(t *testing.T) {
+func TestRetryTriesNextStoreAfterFailure(t *testing.T) {
 	c := newTestClient(t, "", "a:1", "b:1", "c:1")
 	var asked []string
 	err := c.Retry(t.Context(), func(_ context.Context, addr string) error {
@@ -26,11 +26,11 @@
 		t.Errorf("asked %v, want %v; error %v", asked, want, err)
 	}
 	if got := c.currentAddress(); got != "http://c:1" {
-		t.Errorf("asks %s next, want the one that answered", got)
+		t.Errorf("next address is %s, want the one that answered", got)
 	}
 }
 
-func TestRetryStaysAtStoreThatIsAtItsLimit(t *testing.T) {
+func TestRetryStaysAtRateLimitedStore(t *testing.T) {
 	c := newTestClient(t, "", "a:1", "b:1")
 	var asked []string
 	err := c.Retry(t.Context(), func(_ context.Context, addr string) error {
--- a/internal/outputs/client/stream.go
+++ b/internal/outputs/client/stream.go
@@ -9,17 +9,18 @@
 	"reedtrack/internal/outputs/outputsv1/outputsv1connect"
 )
 
-// idleTimeout is how long a reader goes on asking without getting anything: some
-// rounds of all stores, and not so long that people think that it hangs.
+// idleTimeout is how long a reader retries without receiving anything: long enough to
+// try all stores several times, short enough that users don't assume a hang.
 const idleTimeout = 15 * time.Second
 
-// idleTimer cancels a context when reset has not been called for a while.
+// idleTimer cancels a context when reset has not been called within the timeout.
 type idleTimer struct {
 	timer   *time.Timer
 	timeout time.Duration
 }
 
-// withIdleTimeout returns a context that ends when its timer is not reset in time.
+// withIdleTimeout returns a context that is cancelled when its timer is not reset within
+// the timeout.
 func withIdleTimeout(ctx context.Context, timeout time.Duration) (context.Context, *idleTimer, context.CancelFunc) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	idle := &idleTimer{
@@ -31,12 +32,13 @@
 
 func (t *idleTimer) reset() { t.timer.Reset(t.timeout) }
 
-// openStream sends the request for a stream to one store. A repeated call goes on
-// where the stream before broke.
+// openStream sends the request for a stream to one store. When called again, it resumes
+// at the position where the previous stream broke.
 type openStream[Message any] func(context.Context, outputsv1connect.ReaderServiceClient) (*connect.ServerStreamForClient[Message], error)
 
-// receiveStream gives each message of a stream to handle until the stream ends.
-// An error of handle ends it too and is returned apart, as no store is at fault.
+// receiveStream calls handle for each message of a stream until the stream ends. It
+// also stops at an error of handle, which is returned separately and not retried,
+// because the stores did not cause it.
 func receiveStream[Message any](ctx context.Context, c *Client, timeout time.Duration, open openStream[Message], handle func(context.Context, *Message) error) (handleErr, streamErr error) {
 	ctx, idle, cancel := withIdleTimeout(ctx, timeout)
 	defer cancel()
--- a/internal/outputs/client/stream_test.go
+++ b/internal/outputs/client/stream_test.go
@@ -19,14 +19,14 @@
 
 var errCutOff = connect.NewError(connect.CodeUnavailable, errors.New("connection cut off"))
 
-// fakeStore answers with one file and one attempt's records. Its streams break
-// after a message until breaks is used up.
+// fakeStore serves one file and the records of one attempt. Its first streams, as many
+// as breaks says, fail after one message.
 type fakeStore struct {
 	outputsv1connect.UnimplementedReaderServiceHandler
 	content []byte
 	records []*pb.Record
 	breaks  int
-	offsets []uint64 // that were asked for
+	offsets []uint64 // start positions of the requests received
 }
 
 func (f *fakeStore) isBroken() bool {
@@ -76,7 +76,7 @@
 	return connect.NewResponse(&pb.DescribeResponse{Seal: &pb.Seal{Digest: digest.Sum()}}), nil
 }
 
-// startFakeStore serves a store and returns a client of it.
+// startFakeStore starts a server for the store and returns a client of it.
 func startFakeStore(t *testing.T, store *fakeStore) *Client {
 	t.Helper()
 	_, handler := outputsv1connect.NewReaderServiceHandler(store)
@@ -88,7 +88,7 @@
 func TestFetchResumes(t *testing.T) {
 	tests := []struct {
 		name    string
-		partial string // left by a fetch before
+		partial string // left by an earlier fetch
 		breaks  int
 		offsets []uint64
 	}{
@@ -123,13 +123,13 @@
 				t.Errorf("the partial file is left: %v", err)
 			}
 			if !slices.Equal(store.offsets, test.offsets) {
-				t.Errorf("asked from %v, want %v", store.offsets, test.offsets)
+				t.Errorf("requested offsets %v, want %v", store.offsets, test.offsets)
 			}
 		})
 	}
 }
 
-// failingWriter is a full disk.
+// failingWriter fails every write, as a full disk does.
 type failingWriter struct{ err error }
 
 func (w failingWriter) Write([]byte) (int, error) { return 0, w.err }
@@ -140,7 +140,7 @@
 	errFull := errors.New("disk full")
 	err := c.FetchTo(t.Context(), &pb.Attempt{}, "f", failingWriter{errFull}, nil)
 	if !errors.Is(err, errFull) || len(store.offsets) != 1 {
-		t.Errorf("error %v, want that of the writer; asked from %v, want once", err, store.offsets)
+		t.Errorf("error %v, want that of the writer; requested offsets %v, want one", err, store.offsets)
 	}
 }
 
@@ -152,7 +152,7 @@
 	return records
 }
 
-// A read over two streams is intact if both together match the seal.
+// A read over two streams is intact if the records of both together match the seal.
 func TestReadResumesAndChecksSeal(t *testing.T) {
 	store := &fakeStore{records: newRecords("a", "b", "c"), breaks: 1}
 	c := startFakeStore(t, store)
@@ -169,7 +169,7 @@
 		t.Errorf("read %q, intact %v, error %v", text, intact, err)
 	}
 	if !slices.Equal(store.offsets, []uint64{0, 1}) {
-		t.Errorf("asked from %v, want from 0 and 1", store.offsets)
+		t.Errorf("requested offsets %v, want 0 and 1", store.offsets)
 	}
 }
 
--- a/internal/outputs/client/target.go
+++ b/internal/outputs/client/target.go
@@ -10,16 +10,16 @@
 	"reedtrack/internal/protocol"
 )
 
-// maxTasks bounds the tasks of a job: their indices go from 0 to maxTasks-1.
+// maxTasks is the maximum number of tasks of a job; their indices are 0 to maxTasks-1.
 const maxTasks = 100000
 
-// Target names a job, or one task of it, as people write it on a command line.
+// Target identifies a job or one of its tasks, as given on a command line.
 type Target struct {
 	Job  string
 	Task *uint32 // nil: all tasks of the job
 }
 
-// ParseTarget reads JOB or JOB/TASK.
+// ParseTarget parses JOB or JOB/TASK.
 func ParseTarget(text string) (Target, error) {
 	job, taskText, hasTask := strings.Cut(text, "/")
 	if !protocol.ValidJobID(job) {
--- a/internal/outputs/compress.go
+++ b/internal/outputs/compress.go
@@ -6,13 +6,13 @@
 	"github.com/klauspost/compress/zstd"
 )
 
-// maxUnpackedBytes is what a block takes at most when unpacked: its data, and the
-// fields around up to one record for each byte of data and its gaps. It bounds what a
-// hostile writer can make a store allocate.
+// maxUnpackedBytes is the maximum decompressed size of a block: its data and the
+// encoding overhead of up to one record for each byte of data and its gaps. It bounds
+// the memory that a malicious writer can make a store allocate.
 const maxUnpackedBytes = 4 << 20
 
-// Coders are pooled for as long as the process lives: making one costs more than a
-// block. None runs goroutines of its own.
+// Encoders and decoders are pooled for the lifetime of the process, because creating one
+// costs more than coding a block. With concurrency 1 they start no goroutines.
 var (
 	fastEncoders = newEncoderPool(
 		zstd.WithEncoderLevel(zstd.SpeedFastest),
@@ -43,7 +43,8 @@
 	}}
 }
 
-// Compress compresses bytes: fast, or compact for what is kept for long.
+// Compress compresses raw with zstd: at the fastest level, or, if compact is set, at a
+// level with better compression for data in long-term storage.
 func Compress(raw []byte, compact bool) []byte {
 	pool := fastEncoders
 	if compact {
--- a/internal/outputs/digest.go
+++ b/internal/outputs/digest.go
@@ -10,19 +10,20 @@
 	pb "reedtrack/internal/outputs/outputsv1"
 )
 
-// Digest sums up an attempt's records, in order. Its result is in the attempt's seal.
+// Digest hashes an attempt's records in order. The result is stored in the attempt's
+// seal.
 type Digest struct{ hash hash.Hash }
 
-// NewDigest returns the digest of no records.
+// NewDigest returns an empty digest.
 func NewDigest() *Digest { return &Digest{hash: sha256.New()} }
 
-// ResumeDigest goes on with a digest from its State.
+// ResumeDigest restores a digest from the result of [Digest.State].
 func ResumeDigest(state []byte) (*Digest, error) {
 	d := NewDigest()
 	return d, d.hash.(encoding.BinaryUnmarshaler).UnmarshalBinary(state)
 }
 
-// Add adds the next record: its number, time, stream and length, and its data.
+// Add hashes the next record: its sequence number, time, stream, length and data.
 func (d *Digest) Add(r *pb.Record) {
 	var header [8 + 8 + 1 + 4]byte
 	binary.BigEndian.PutUint64(header[:], r.Seq)
@@ -36,15 +37,16 @@
 // Sum returns the digest of the records added so far.
 func (d *Digest) Sum() []byte { return d.hash.Sum(nil) }
 
-// State returns what another process needs to go on with the digest.
+// State returns the serialized hash state, with which another process can resume the
+// digest.
 func (d *Digest) State() []byte {
 	raw, err := d.hash.(encoding.BinaryMarshaler).MarshalBinary()
 	if err != nil {
-		panic(err) // crypto/sha256 always can
+		panic(err) // crypto/sha256 never fails to marshal its state
 	}
 	return raw
 }
 
-// IsUnknownDigest reports whether a seal's digest says nothing, because the writer did
-// not see all records.
+// IsUnknownDigest reports whether a seal's digest is all zeros: the writer did not
+// process all records and could not compute it.
 func IsUnknownDigest(digest []byte) bool { return bytes.Equal(digest, make([]byte, sha256.Size)) }
--- a/internal/outputs/spans.go
+++ b/internal/outputs/spans.go
@@ -6,11 +6,11 @@
 	pb "reedtrack/internal/outputs/outputsv1"
 )
 
-// Spans is a set of records as ranges, which are in order and do not touch. Its methods
-// do not change it.
+// Spans is a set of record numbers, stored as sorted half-open ranges that neither
+// overlap nor touch. Its methods do not modify it.
 type Spans []*pb.Span
 
-// Add returns the set with a range added.
+// Add returns the union of the set and the range [from, to).
 func (s Spans) Add(from, to uint64) Spans {
 	if from >= to {
 		return s
@@ -20,7 +20,7 @@
 			return -1
 		}
 		return 1
-	}) // the first that touches or follows
+	}) // the first span that touches or follows the range
 	j := i
 	for ; j < len(s) && s[j].From <= to; j++ {
 		from, to = min(from, s[j].From), max(to, s[j].To)
@@ -28,7 +28,7 @@
 	return slices.Replace(slices.Clone(s), i, j, &pb.Span{From: from, To: to})
 }
 
-// Remove returns the set without a range.
+// Remove returns the set without the range [from, to).
 func (s Spans) Remove(from, to uint64) Spans {
 	var out Spans
 	for _, x := range s {
@@ -46,7 +46,7 @@
 	return out
 }
 
-// Missing returns what of a range is not in the set.
+// Missing returns the parts of the range [from, to) that are not in the set.
 func (s Spans) Missing(from, to uint64) Spans {
 	var out Spans
 	for _, x := range s {
@@ -67,8 +67,8 @@
 	return out
 }
 
-// SpanEnd returns the end of the range that holds a record, or the record itself if it
-// is not in the set.
+// SpanEnd returns the exclusive end of the span that contains seq, or seq itself if it is
+// not in the set.
 func (s Spans) SpanEnd(seq uint64) uint64 {
 	for _, x := range s {
 		if x.From <= seq && seq < x.To {
@@ -78,7 +78,7 @@
 	return seq
 }
 
-// Next returns the first record of the set from one on.
+// Next returns the smallest record number in the set that is at least seq.
 func (s Spans) Next(seq uint64) (uint64, bool) {
 	for _, x := range s {
 		if seq < x.To {
@@ -88,7 +88,7 @@
 	return 0, false
 }
 
-// End returns the number after the last record, or 0.
+// End returns the number after the last record, or 0 if the set is empty.
 func (s Spans) End() uint64 {
 	if len(s) == 0 {
 		return 0
@@ -96,7 +96,7 @@
 	return s[len(s)-1].To
 }
 
-// Count returns the number of records.
+// Count returns the number of records in the set.
 func (s Spans) Count() uint64 {
 	n := uint64(0)
 	for _, x := range s {
--- a/internal/outputs/text.go
+++ b/internal/outputs/text.go
@@ -8,12 +8,13 @@
 	pb "reedtrack/internal/outputs/outputsv1"
 )
 
-// Escape appends text so that it can be shown on a terminal. Newlines and tabs stay;
-// all that could control a terminal or hide something is written as \xNN or \u{N}, and
-// a backslash as two. Carriage returns before a newline are left out.
+// Escape appends text to a buffer in a form that is safe to print on a terminal.
+// Newlines and tabs are kept; control characters, invalid UTF-8 and other non-printable
+// characters become \xNN or \u{N}, and a backslash is doubled. A carriage return before
+// a newline is dropped.
 func Escape(to, text []byte) []byte { return escape(to, text, true) }
 
-// escape is Escape; without lines, newlines and tabs are written as \xNN too.
+// escape implements Escape; if lines is false, it escapes newlines and tabs as well.
 func escape(to, text []byte, lines bool) []byte {
 	for i := 0; i < len(text); {
 		c := text[i]
@@ -32,7 +33,7 @@
 			switch {
 			case r == utf8.RuneError && n == 1:
 				to = fmt.Appendf(to, `\x%02x`, c)
-			case !unicode.IsPrint(r): // controls, directions, what is not assigned
+			case !unicode.IsPrint(r): // control, bidirectional and unassigned characters
 				to = fmt.Appendf(to, `\u{%x}`, r)
 			default:
 				to = append(to, text[i:i+n]...)
@@ -45,11 +46,11 @@
 	return to
 }
 
-// EscapePath returns a file's path as it is kept and shown: nothing in it can control a
-// terminal, and no two paths have the same name.
+// EscapePath escapes a file's path for storage and display: the result is printable, and
+// different paths have different results.
 func EscapePath(p string) string { return string(escape(nil, []byte(p), false)) }
 
-// gapReasons are the reasons of a gap as readers are told them.
+// gapReasons maps the reason codes of a gap to the descriptions that readers see.
 var gapReasons = map[string]string{
 	"rate":  "they came faster than is kept",
 	"size":  "the output is larger than is kept",
@@ -57,7 +58,7 @@
 	"lost":  "they were lost with the machine's spool",
 }
 
-// FormatGap returns the line that stands for a gap in a log.
+// FormatGap returns the line that is printed in place of a gap in a log.
 func FormatGap(g *pb.Gap) string {
 	more := ""
 	if g.Unknown {
