--- a/cmd/capture/flags.go
+++ b/cmd/capture/flags.go
@@ -12,7 +12,8 @@
 
 const description = `Runs a command and keeps its output. Exit status: the command's own (its signal too); 127 or 126 when it could not be started; 2 for bad arguments. With --recover: 0 when all was shipped, 1 otherwise.`
 
-// cli is the command line. Flags whose names come from elsewhere are tagged.
+// cli defines the command line. A tag sets the name of a flag that differs from its
+// field's name.
 type cli struct {
 	Job        string   `placeholder:"wk-000412" help:"The task's job."`
 	Task       uint32   `help:"The task's number."`
@@ -42,7 +43,7 @@
 	Command []string `arg:"" optional:"" passthrough:"" help:"The command, after --."`
 }
 
-// Units of the flags whose names end in MB and KB.
+// Shifts that convert the flags in MB and KB to bytes.
 const (
 	mebibyteShift = 20
 	kibibyteShift = 10
@@ -51,17 +52,17 @@
 func (c *cli) spoolBytes() int64     { return c.SpoolMB << mebibyteShift }
 func (c *cli) artefactBytes() uint64 { return c.ArtefactMB << mebibyteShift }
 
-// completeCommand checks the flags of a command to run, and fills in those whose
-// default depends on the machine.
+// completeCommand validates the command and its flags, and sets defaults that depend on
+// the machine.
 func (c *cli) completeCommand() error {
 	if len(c.Command) > 0 && c.Command[0] == "--" {
 		c.Command = c.Command[1:]
 	}
 	if len(c.Command) == 0 {
-		return errors.New("no command: it comes after --")
+		return errors.New("no command given: it must follow --")
 	}
 	if c.Machine == "" {
-		c.Machine, _ = os.Hostname() // without one the check of the name fails below
+		c.Machine, _ = os.Hostname() // if it fails, the validation of the empty name below fails
 	}
 	for _, pattern := range c.Keep {
 		if err := capture.CheckPattern(pattern); err != nil {
@@ -79,7 +80,7 @@
 	return outputs.CheckAttempt(capture.Attempt(c.Job, c.Task, c.Attempt, c.Team, c.Machine, c.AgentEpoch))
 }
 
-// config is that of the capture of one command.
+// config returns the capture configuration that the flags describe.
 func (c *cli) config() capture.Config {
 	return capture.Config{
 		Attempt: capture.AttemptInfo{
--- a/cmd/capture/main.go
+++ b/cmd/capture/main.go
@@ -1,9 +1,9 @@
-// Command capture runs the command of a task on a worker and keeps what it leaves.
+// Command capture runs the command of a task on a worker and captures its output.
 //
-// The command's standard output and error, and at its end the files that patterns
-// name, go into a spool on the machine and from there to the stores of outputs. A
-// store that is away, or slow, holds the task up for a bounded time only. The
-// command's exit status is passed on unchanged, whatever becomes of its output.
+// The command's standard output and error, and at its end the files that match the
+// given patterns, are written to a spool on the machine and shipped from there to the
+// stores of outputs. An unavailable or slow store delays the task for a bounded time
+// only. The command's exit status is passed on unchanged, even if output is lost.
 //
 // A capture that is killed leaves its spool behind; capture --recover ships it.
 package main
@@ -26,12 +26,13 @@
 )
 
 const (
-	// tokenVariable holds the token if no file does.
+	// tokenVariable is the environment variable with the token, used if there is no
+	// token file.
 	tokenVariable = "REEDTRACK_TOKEN"
-	// serviceName is that of this program in traces.
+	// serviceName is the service name of this program in traces.
 	serviceName = "reedtrack-capture"
-	// recoverTimeout bounds --recover, which is run at each start of a machine and
-	// of a worker. What is not shipped by then is left to the next run.
+	// recoverTimeout is the time limit of --recover, which runs at each start of a
+	// machine and of a worker. The rest is left to the next run.
 	recoverTimeout = 10 * time.Minute
 
 	exitRecoverFailed = 1
@@ -74,7 +75,7 @@
 	os.Exit(status.Exit)
 }
 
-// token returns the team's token; empty: none is sent.
+// token returns the team's token, or an empty string to send none.
 func (c *cli) token() (string, error) {
 	if c.TokenFile != "" {
 		return access.ReadTokenFile(c.TokenFile)
@@ -82,8 +83,8 @@
 	return os.Getenv(tokenVariable), nil
 }
 
-// runCommand runs the command and ships its output. Why output was not kept is only
-// reported: the task's status is what counts.
+// runCommand runs the command and ships its output. Errors of that are only printed and
+// don't change the status, which is the command's.
 func (c *cli) runCommand(stores *client.Client) capture.Status {
 	os.Unsetenv(tokenVariable) // the token is for this program, not for the task
 	config := c.config()
@@ -95,8 +96,8 @@
 	return status
 }
 
-// recoverSpools ships what killed captures have left and returns the exit status.
-// Each spool gets a client of its own.
+// recoverSpools ships the spools of killed captures and returns the exit status. It
+// creates a separate client for each spool.
 func (c *cli) recoverSpools(newClient func() (*client.Client, error)) int {
 	ctx, cancel := context.WithTimeout(context.Background(), recoverTimeout)
 	defer cancel()
@@ -118,9 +119,9 @@
 	return 0
 }
 
-// exitBySignal ends this process by the signal that ended the command, without a
-// second core dump. Go's runtime handles some signals itself, so a shell, to which
-// they are new, takes the place of this program.
+// exitBySignal terminates this process by the signal that terminated the command,
+// without a second core dump. The Go runtime handles some signals itself, so it
+// replaces this process with a shell, which has default signal handling, to raise it.
 func exitBySignal(signal syscall.Signal) {
 	unix.Setrlimit(unix.RLIMIT_CORE, &unix.Rlimit{})
 	syscall.Exec("/bin/sh", []string{"sh", "-c", fmt.Sprintf("kill -%d $$", int(signal))}, nil)
--- a/cmd/outputs/artefacts.go
+++ b/cmd/outputs/artefacts.go
@@ -10,13 +10,13 @@
 	pb "reedtrack/internal/outputs/outputsv1"
 )
 
-// artefactsCmd is the command artefacts.
+// artefactsCmd implements the command artefacts.
 type artefactsCmd struct {
 	queryFlags
 	JSON bool `help:"As JSON, an attempt a line."`
 }
 
-// Run lists the files that were kept, and those that were refused.
+// Run lists the stored artefacts, and the files that were refused.
 func (c *artefactsCmd) Run() error {
 	ctx := context.Background()
 	stores, request, err := c.prepare()
@@ -52,12 +52,12 @@
 		return err
 	}
 	if printed == 0 {
-		return fmt.Errorf("no files are kept of %s", c.Target)
+		return fmt.Errorf("no artefacts are stored for %s", c.Target)
 	}
 	return nil
 }
 
-// attemptsWithFiles returns the attempts of a job that have left files.
+// attemptsWithFiles returns the attempts of a job that have stored or refused artefacts.
 func attemptsWithFiles(ctx context.Context, stores *client.Client, request *pb.ListRequest) ([]*pb.Summary, error) {
 	unreachable := map[string]bool{}
 	var attempts []*pb.Summary
@@ -73,7 +73,7 @@
 	return attempts, nil
 }
 
-// printFiles prints the files of one attempt and returns how many there are.
+// printFiles prints the files of one attempt and returns their number.
 func printFiles(table *tabwriter.Writer, attempt *pb.Attempt, seal *pb.Seal) int {
 	for _, file := range seal.GetArtefacts() {
 		fmt.Fprintf(table, "%s/%d\ttry %d\t%d\t%s\n", attempt.Job, attempt.Task, attempt.Try, file.Size, file.Path)
--- a/cmd/outputs/check.go
+++ b/cmd/outputs/check.go
@@ -9,10 +9,10 @@
 	"reedtrack/internal/outputs/settings"
 )
 
-// checkCmd is the command check.
+// checkCmd implements the command check.
 type checkCmd struct{ settingsFlags }
 
-// Run checks the settings and prints what a store would do with them.
+// Run validates the settings and prints the resulting configuration of the store.
 func (s *checkCmd) Run() error {
 	c, err := s.load()
 	if err != nil {
@@ -50,7 +50,7 @@
 	fmt.Printf("all teams          through one store %s a second\n", mebibytes(set.StoreRate))
 }
 
-// mebibytes formats a bound in bytes, of which 0 is none.
+// mebibytes formats a limit in bytes; 0 means no limit.
 func mebibytes(bytes uint64) string {
 	const mebibyte = 1 << 20
 	if bytes == 0 {
@@ -78,7 +78,8 @@
 	fmt.Printf("kept               %s: %s\n", subject, duration)
 }
 
-// describeCertificate loads the certificate, so that check finds a bad one.
+// describeCertificate loads the certificate, so that check reports an invalid one, and
+// returns its file and expiry.
 func describeCertificate(set *settings.Outputs) (string, error) {
 	if set.Cert == "" {
 		return "off", nil
--- a/cmd/outputs/fetch.go
+++ b/cmd/outputs/fetch.go
@@ -14,10 +14,10 @@
 	pb "reedtrack/internal/outputs/outputsv1"
 )
 
-// toStandardOutput is the name of a file that stands for standard output.
+// toStandardOutput is the file name that selects standard output.
 const toStandardOutput = "-"
 
-// fetchCmd is the command fetch.
+// fetchCmd implements the command fetch.
 type fetchCmd struct {
 	storeFlags
 	Target  string `arg:"" name:"task" help:"The task, as wk-000412/3."`
@@ -26,7 +26,7 @@
 	Output  string `name:"out" short:"o" placeholder:"FILE" help:"Where it goes; - for standard output. Its own name, here, if absent."`
 }
 
-// Run fetches a file.
+// Run downloads an artefact.
 func (c *fetchCmd) Run() error {
 	ctx := context.Background()
 	stores, err := c.newClient()
@@ -59,7 +59,7 @@
 	return nil
 }
 
-// findAttempt returns the newest attempt that is meant and has kept the file.
+// findAttempt returns the newest of the selected attempts that has the artefact.
 func (c *fetchCmd) findAttempt(ctx context.Context, stores *client.Client) (*pb.Attempt, error) {
 	selection := selectionFlags{Target: c.Target, Attempt: cmp.Or(c.Attempt, allAttempts)}
 	attempts, err := selection.selectAttempts(ctx, stores)
@@ -79,11 +79,12 @@
 			return summary.Attempt, nil
 		}
 	}
-	return nil, fmt.Errorf("%s has kept no file %s; `reedtrack artefacts %s` lists them", c.Target, outputs.EscapePath(c.Path), c.Target)
+	return nil, fmt.Errorf("%s has no artefact %s; `reedtrack artefacts %s` lists its artefacts", c.Target, outputs.EscapePath(c.Path), c.Target)
 }
 
-// fileName is where the file goes. By default it is the last element of its path,
-// in which a backslash could be a directory to some programs.
+// fileName returns the name of the destination file. The default is the last element of
+// the artefact's path. It replaces backslashes, which some programs treat as directory
+// separators.
 func (c *fetchCmd) fileName() string {
 	if c.Output != "" {
 		return c.Output
--- a/cmd/outputs/list.go
+++ b/cmd/outputs/list.go
@@ -15,7 +15,8 @@
 	pb "reedtrack/internal/outputs/outputsv1"
 )
 
-// progressAttempts is after how many attempts a long listing tells its progress.
+// progressAttempts is the number of attempts between two progress messages of a long
+// listing.
 const progressAttempts = 10 * pageSize
 
 // attemptTable prints attempts as a table or as JSON lines.
@@ -29,7 +30,7 @@
 func (c *logsCmd) listAttempts(ctx context.Context, stores *client.Client, request *pb.ListRequest) error {
 	var err error
 	if request.After, err = hex.DecodeString(c.After); err != nil {
-		return usageError{fmt.Errorf("--after %s: not what a page says", c.After)}
+		return usageError{fmt.Errorf("--after %s: not a value printed by a previous listing", c.After)}
 	}
 	table := &attemptTable{asJSON: c.JSON, writer: newTable()}
 	unreachable := map[string]bool{}
@@ -69,7 +70,7 @@
 	return nil
 }
 
-// add prints one attempt.
+// add writes one attempt.
 func (t *attemptTable) add(summary *pb.Summary) error {
 	t.rows++
 	if t.asJSON {
@@ -97,14 +98,15 @@
 	return nil
 }
 
-// printProgress tells a terminal now and then how many attempts there are so far.
+// printProgress prints the number of attempts so far, every progressAttempts attempts and
+// only to a terminal.
 func (t *attemptTable) printProgress() {
 	if t.rows%progressAttempts < pageSize && term.IsTerminal(int(os.Stderr.Fd())) {
 		fmt.Fprintf(os.Stderr, "%d attempts\r", t.rows)
 	}
 }
 
-// statusText says how an attempt has ended.
+// statusText describes how an attempt has ended.
 func statusText(summary *pb.Summary) string {
 	switch {
 	case !summary.Sealed:
@@ -121,7 +123,8 @@
 	return fmt.Sprintf("failed with status %d", summary.Exit)
 }
 
-// copiesText tells how many stores that answered hold all of an attempt.
+// copiesText returns the number of complete copies of an attempt on the stores that
+// responded.
 func copiesText(summary *pb.Summary) string {
 	switch {
 	case !summary.Sealed:
--- a/cmd/outputs/logs.go
+++ b/cmd/outputs/logs.go
@@ -15,10 +15,10 @@
 	pb "reedtrack/internal/outputs/outputsv1"
 )
 
-// pollInterval is how often --follow looks for the next attempt.
+// pollInterval is how often --follow polls for the next attempt.
 const pollInterval = time.Second
 
-// logsCmd is the command logs.
+// logsCmd implements the command logs.
 type logsCmd struct {
 	queryFlags
 	Stream string `enum:"stdout,stderr," default:"" help:"Only stdout or stderr."`
@@ -59,14 +59,15 @@
 	return c.showAttempts(ctx, stores, attempts, sinceNs)
 }
 
-// mayAppearLater reports whether attempts were not selected because there are none.
+// mayAppearLater reports whether the selection failed only because there are no matching
+// attempts yet.
 func mayAppearLater(err error) bool {
 	isUsage := errors.As(err, new(usageError))
 	return err != nil && !isUsage && !errors.Is(err, client.ErrUnavailable) && connect.CodeOf(err) == connect.CodeUnknown
 }
 
-// showAttempts shows one attempt after the other, and with --follow the later ones
-// that a failed one is retried with.
+// showAttempts shows the attempts in order, and with --follow also the later attempts
+// that follow a failed one.
 func (c *logsCmd) showAttempts(ctx context.Context, stores *client.Client, attempts []*pb.Summary, sinceNs int64) error {
 	for {
 		isComplete := true
@@ -92,20 +93,20 @@
 			}
 		}
 		if !isComplete {
-			return errors.New("not everything could be read, see above")
+			return errors.New("the output could not be read completely, see above")
 		}
 		return nil
 	}
 }
 
-// awaitRetry waits for the attempt after one that has failed; it returns none after
-// one that has not.
+// awaitRetry waits for the attempt that follows a failed one. If the last attempt has not
+// failed, it returns nil.
 func (c *logsCmd) awaitRetry(ctx context.Context, stores *client.Client, last *pb.Summary) ([]*pb.Summary, error) {
 	description, err := stores.Describe(ctx, last.Attempt)
 	if err != nil || !description.Summary.Sealed || description.Summary.Exit == 0 {
 		return nil, nil
 	}
-	fmt.Fprintf(os.Stderr, "== %s, %s; waiting for another try, end with Ctrl-C\n", outputs.FormatAttempt(last.Attempt), statusText(description.Summary))
+	fmt.Fprintf(os.Stderr, "== %s, %s; waiting for the next try, press Ctrl-C to stop\n", outputs.FormatAttempt(last.Attempt), statusText(description.Summary))
 	return c.awaitAttempt(ctx, stores, last)
 }
 
@@ -123,8 +124,8 @@
 	}
 }
 
-// parseSince reads a duration before now or a time, in nanoseconds since 1970;
-// 0: none.
+// parseSince parses a duration before now or an RFC 3339 time and returns it as Unix
+// time in nanoseconds, or 0 for an empty text.
 func parseSince(text string, now time.Time) (int64, error) {
 	if text == "" {
 		return 0, nil
@@ -134,7 +135,7 @@
 	}
 	t, err := time.Parse(time.RFC3339, text)
 	if err != nil {
-		return 0, fmt.Errorf("--since %s: must be as 10m, 2h or 2026-12-01T07:30:00Z", text)
+		return 0, fmt.Errorf("--since %s: must look like 10m, 2h or 2026-12-01T07:30:00Z", text)
 	}
 	return t.UnixNano(), nil
 }
--- a/cmd/outputs/main.go
+++ b/cmd/outputs/main.go
@@ -1,12 +1,12 @@
-// Command outputs runs a store of task outputs and reads what the stores keep.
+// Command outputs runs a store of task outputs and reads from running stores.
 //
-// A store keeps the standard output, standard error and files of tasks, which
-// captures on the workers send to it. Several stores replicate to each other and
-// look like one: docs/outputs-operations.md says how to run them. serve runs a
-// store; check, token and verify are for its operator.
+// A store keeps the standard output, standard error and artefacts of tasks, which
+// captures on the workers send to it. Stores replicate to each other and act as a
+// single one to clients; docs/outputs-operations.md describes how to run them. serve
+// runs a store; check, token and verify are for its operator.
 //
-// logs, artefacts and fetch read from running stores. The program reedtrack runs
-// this one for its commands of these names.
+// logs, artefacts and fetch read from running stores. The program reedtrack executes
+// this one for its commands with these names.
 package main
 
 import (
@@ -22,7 +22,7 @@
 	"reedtrack/internal/outputs/client"
 )
 
-// Exit statuses, as the description names them.
+// Exit statuses; they are documented in description.
 const (
 	exitFailed      = 1
 	exitUsage       = 2
@@ -31,7 +31,7 @@
 
 const description = "A store of task outputs, and its reader. Exit status: 0 done, 1 failed or not all to be had, 2 bad arguments or settings, 3 no store answered."
 
-// cli is the command line: one field a command, which is named after it.
+// cli defines the command line: each field is a command of the same name.
 type cli struct {
 	Serve  serveCmd  `cmd:"" help:"Run a store."`
 	Check  checkCmd  `cmd:"" help:"Check settings and print what follows from them."`
@@ -45,7 +45,7 @@
 
 func main() {
 	var c cli
-	name := filepath.Base(os.Args[0]) // reedtrack, when that has run this program
+	name := filepath.Base(os.Args[0]) // reedtrack, if that program has executed this one
 	parser := kong.Must(&c, kong.Name(name), kong.Description(description))
 	ctx, err := parser.Parse(os.Args[1:])
 	if err != nil {
@@ -58,7 +58,7 @@
 	}
 }
 
-// usageError marks an error as the caller's mistake in the arguments.
+// usageError marks an error as caused by invalid arguments.
 type usageError struct{ error }
 
 func exitStatus(err error) int {
@@ -73,7 +73,8 @@
 	return exitFailed
 }
 
-// withoutCode leaves the error code out of a store's answer: it is for programs.
+// withoutCode removes the error code from a store's error, since it is of no use to
+// people.
 func withoutCode(err error) error {
 	var connectErr *connect.Error
 	if errors.As(err, &connectErr) && !errors.Is(err, client.ErrUnavailable) {
--- a/cmd/outputs/print.go
+++ b/cmd/outputs/print.go
@@ -14,21 +14,22 @@
 )
 
 const (
-	// tableColumnGap is the space between two columns of a table.
+	// tableColumnGap is the number of spaces between two columns of a table.
 	tableColumnGap = 2
-	// barInterval is how often a progress bar is drawn: often enough to move.
+	// barInterval is the minimum time between two redraws of a progress bar, short
+	// enough that it visibly moves.
 	barInterval = 200 * time.Millisecond
-	// unknownSize is the size of what a progress bar can't know the end of.
+	// unknownSize is the size of a progress bar for data of unknown length.
 	unknownSize = -1
 )
 
-// newTable returns a writer to standard output that aligns columns.
+// newTable returns a tabwriter on standard output.
 func newTable() *tabwriter.Writer {
 	const minWidth, tabWidth = 0, 8
 	return tabwriter.NewWriter(os.Stdout, minWidth, tabWidth, tableColumnGap, ' ', 0)
 }
 
-// printJSON prints a message in a line of its own.
+// printJSON prints a message as one line of JSON.
 func printJSON(message proto.Message) error {
 	raw, err := protojson.MarshalOptions{UseProtoNames: true}.Marshal(message)
 	if err != nil {
@@ -38,8 +39,8 @@
 	return nil
 }
 
-// progressBar shows on standard error, if that is a terminal, how far something is.
-// A nil one does nothing when it is closed.
+// progressBar shows progress in bytes on standard error, if that is a terminal. Close
+// may be called on a nil progressBar.
 type progressBar struct {
 	bar *progressbar.ProgressBar
 }
@@ -59,10 +60,10 @@
 	)}
 }
 
-// Add counts further bytes.
+// Add advances the bar by a number of bytes.
 func (p *progressBar) Add(bytes int) { p.bar.Add(bytes) }
 
-// Set counts bytes from the beginning.
+// Set sets the bar to a total number of bytes.
 func (p *progressBar) Set(bytes int64) { p.bar.Set64(bytes) }
 
 // Close removes the bar.
--- a/cmd/outputs/process_test.go
+++ b/cmd/outputs/process_test.go
@@ -15,7 +15,7 @@
 	"time"
 )
 
-// programDir holds the programs, which are built once, as users build them.
+// programDir is the directory of the programs under test, which are built once.
 var programDir string
 
 func TestMain(m *testing.M) {
@@ -41,7 +41,8 @@
 
 func programPath(name string) string { return filepath.Join(programDir, name) }
 
-// storeProcess is a store as a process of its own, and what its captures share.
+// storeProcess is a store that runs as a separate process, with the spool directory of
+// its captures.
 type storeProcess struct {
 	t     *testing.T
 	dir   string
@@ -52,7 +53,7 @@
 	log   bytes.Buffer
 }
 
-// startStoreProcess starts a store of one copy.
+// startStoreProcess starts a single store, with one copy.
 func startStoreProcess(t *testing.T) *storeProcess {
 	t.Helper()
 	if err := buildPrograms(); err != nil {
@@ -71,8 +72,8 @@
 	return s
 }
 
-// freeAddress returns an address that nothing listens at. It is not 127.0.0.1,
-// where connections of other tests may take the port meanwhile.
+// freeAddress returns a free address. It is not on 127.0.0.1, where connections of
+// other tests could take the port before it is used.
 func freeAddress(t *testing.T) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", fmt.Sprintf("127.%d.%d.200:0", 1+os.Getpid()>>8%250, os.Getpid()%256))
@@ -101,7 +102,7 @@
 			return
 		}
 		if time.Now().After(end) {
-			s.t.Fatalf("does not listen: %s", s.log.String())
+			s.t.Fatalf("store does not listen; its log: %s", s.log.String())
 		}
 	}
 }
@@ -111,7 +112,8 @@
 	s.cmd.Wait()
 }
 
-// capture is a capture of a task of team red that has a token.
+// capture returns a capture command for a task of team red, with a token in its
+// environment.
 func (s *storeProcess) capture(job string, more ...string) *exec.Cmd {
 	args := []string{"--job", job, "--task", "0", "--try", "1", "--team", "red", "--to", s.addr, "--spool", s.spool, "--dir", s.dir}
 	cmd := exec.Command(programPath("capture"), append(args, more...)...)
@@ -119,7 +121,7 @@
 	return cmd
 }
 
-// read runs a command that reads from the store.
+// read runs a reader command on the store and returns its output.
 func (s *storeProcess) read(args ...string) string {
 	s.t.Helper()
 	cmd := exec.Command(programPath("outputs"), append(args, "--store", s.addr)...)
@@ -132,10 +134,10 @@
 	return string(out)
 }
 
-// exitState is how a process has ended.
+// exitState describes how a process has ended.
 type exitState struct {
 	status int
-	signal syscall.Signal // 0: it has exited
+	signal syscall.Signal // 0 if the process exited
 }
 
 func runToEnd(cmd *exec.Cmd) exitState {
@@ -156,7 +158,7 @@
 		"kill -TERM $$":              {signal: syscall.SIGTERM},
 		"kill -KILL $$":              {signal: syscall.SIGKILL},
 		"kill -SEGV $$":              {signal: syscall.SIGSEGV},
-		`test -z "$REEDTRACK_TOKEN"`: {status: 0}, // the token is not the task's
+		`test -z "$REEDTRACK_TOKEN"`: {status: 0}, // the task must not see the token
 	}
 	for script, want := range scripts {
 		if got := runToEnd(store.capture("wk-000001", "--", "sh", "-c", script)); got != want {
@@ -185,8 +187,8 @@
 	}
 }
 
-// A capture that is killed while it writes, with the store away, takes its task
-// with it, and what it has written so far is shipped by --recover.
+// When a capture is killed while the store is unavailable, its task is killed too, and
+// --recover ships the output written so far.
 func TestKilledCaptureLeavesRecoverableSpool(t *testing.T) {
 	store := startStoreProcess(t)
 	store.kill()
@@ -199,7 +201,7 @@
 	cmd.Process.Kill()
 	cmd.Wait()
 	if pid := readPID(pidFile); pid == 0 || !endsSoon(pid) {
-		t.Errorf("the task %d goes on without its capture", pid)
+		t.Errorf("task process %d still runs after its capture was killed", pid)
 	}
 	store.start()
 	out, err := exec.Command(programPath("capture"), "--recover", store.spool, "--to", store.addr).CombinedOutput()
@@ -208,27 +210,26 @@
 	}
 	lines := strings.Split(strings.TrimSpace(store.read("logs", "wk-000003/0")), "\n")
 	if len(lines) < 100 {
-		t.Errorf("%d lines left, want at least 100", len(lines))
+		t.Errorf("%d lines recovered, want at least 100", len(lines))
 	}
-	for i, line := range lines[:len(lines)-1] { // the last may be cut
+	for i, line := range lines[:len(lines)-1] { // the last line may be truncated
 		if line != fmt.Sprintf("line %d", i+1) {
 			t.Fatalf("line %d is %q", i+1, line)
 		}
 	}
 	if list := store.read("logs", "wk-000003"); !strings.Contains(list, "end not seen") {
-		t.Errorf("listed as\n%s", list)
+		t.Errorf("listing does not contain \"end not seen\":\n%s", list)
 	}
 }
 
-// readPID returns the process id in a file, or 0.
+// readPID reads a process ID from a file; 0 if there is none.
 func readPID(file string) int {
 	raw, _ := os.ReadFile(file)
 	pid, _ := strconv.Atoi(strings.TrimSpace(string(raw)))
 	return pid
 }
 
-// endsSoon reports whether a process is gone, or only waits to be reaped, within a
-// second.
+// endsSoon reports whether a process ends within a second; a zombie counts as ended.
 func endsSoon(pid int) bool {
 	for range 100 {
 		stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
@@ -240,8 +241,7 @@
 	return false
 }
 
-// A store that is killed again and again while a task writes loses nothing that a
-// capture was told it has.
+// A store that is repeatedly killed while a task writes loses no acknowledged output.
 func TestKilledStoreLosesNothingAcknowledged(t *testing.T) {
 	const lines = 3000
 	store := startStoreProcess(t)
@@ -265,7 +265,7 @@
 		fmt.Fprintf(&want, "line %d\n", i+1)
 	}
 	if got := store.read("logs", "wk-000004/0"); got != want.String() {
-		t.Errorf("%d bytes, want %d", len(got), want.Len())
+		t.Errorf("output has %d bytes, want %d", len(got), want.Len())
 	}
 	store.kill()
 	out, err := exec.Command(programPath("outputs"), "verify", store.dataDir()).Output()
--- a/cmd/outputs/select.go
+++ b/cmd/outputs/select.go
@@ -14,20 +14,22 @@
 	pb "reedtrack/internal/outputs/outputsv1"
 )
 
-// pageSize is how many attempts one request asks for: the most that stores give.
+// pageSize is the number of attempts that one request asks for. It is the maximum that
+// stores return.
 const pageSize = 1000
 
-// allAttempts selects all attempts of a task in the flag --try.
+// allAttempts is the value of the flag --try that selects all attempts of a task.
 const allAttempts = "all"
 
-// storeFlags say which stores to ask, and as whom.
+// storeFlags are the flags for the addresses of the stores and the credentials.
 type storeFlags struct {
 	Store     []string `required:"" env:"REEDTRACK_STORE" placeholder:"HOST:PORT" help:"Addresses of stores of outputs, any of them; tried in turn."`
 	TokenFile string   `env:"REEDTRACK_TOKEN_FILE" placeholder:"FILE" help:"The team's token; or REEDTRACK_TOKEN."`
 	CA        string   `env:"REEDTRACK_CA" placeholder:"FILE" help:"Certificates that the stores' are checked against; HOST:PORT then means https."`
 }
 
-// newClient returns a client that tells on standard error when no store answers.
+// newClient returns a client that prints a message on standard error when no store
+// responds.
 func (f *storeFlags) newClient() (*client.Client, error) {
 	token := os.Getenv("REEDTRACK_TOKEN")
 	if f.TokenFile != "" {
@@ -41,12 +43,12 @@
 		return nil, usageError{err}
 	}
 	stores.OnUnavailable = func(err error) {
-		fmt.Fprintf(os.Stderr, "no store answers yet: %v\n", withoutCode(err))
+		fmt.Fprintf(os.Stderr, "no store has responded yet: %v\n", withoutCode(err))
 	}
 	return stores, nil
 }
 
-// selectionFlags say which attempts of a job or a task are meant.
+// selectionFlags are the arguments and flags that select attempts of a job or task.
 type selectionFlags struct {
 	Target  string `arg:"" name:"job" help:"The job, as wk-000412, or one task of it, as wk-000412/3."`
 	Attempt string `name:"try" placeholder:"N" help:"This try of the task, or all; the newest if absent."`
@@ -54,13 +56,13 @@
 	Open    bool   `help:"Only attempts that have not ended."`
 }
 
-// queryFlags are those of the commands that look for attempts.
+// queryFlags are the flags of the commands that query attempts.
 type queryFlags struct {
 	storeFlags
 	selectionFlags
 }
 
-// prepare returns a client and the request for the attempts that are selected.
+// prepare returns a client and the list request for the selected attempts.
 func (f *queryFlags) prepare() (*client.Client, *pb.ListRequest, error) {
 	stores, err := f.newClient()
 	if err != nil {
@@ -78,7 +80,7 @@
 	request := &pb.ListRequest{Job: target.Job, Task: target.Task, Limit: pageSize}
 	switch {
 	case f.Failed && f.Open:
-		return nil, usageError{errors.New("--failed and --open: an attempt that failed has ended")}
+		return nil, usageError{errors.New("--failed and --open exclude each other: an attempt that failed has ended")}
 	case f.Failed:
 		request.Which = pb.Which_WHICH_FAILED
 	case f.Open:
@@ -87,7 +89,7 @@
 	return request, nil
 }
 
-// attemptNumber returns the number in the flag --try; 0: it names none.
+// attemptNumber returns the number in the flag --try, or 0 if it has none.
 func (f *selectionFlags) attemptNumber() (uint64, error) {
 	if f.Attempt == "" || f.Attempt == allAttempts {
 		return 0, nil
@@ -99,9 +101,9 @@
 	return number, nil
 }
 
-// selectAttempts returns the attempts of one task that are meant, in order: the
-// newest, or those that the flag --try names. One number may have several, if more
-// than one machine held itself for the task's.
+// selectAttempts returns the selected attempts of one task in order: the newest one,
+// or those given by the flag --try. One number can match several attempts, if more
+// than one machine ran the task under it.
 func (f *selectionFlags) selectAttempts(ctx context.Context, stores *client.Client) ([]*pb.Summary, error) {
 	request, err := f.listRequest()
 	if err != nil {
@@ -132,7 +134,7 @@
 	return selected, nil
 }
 
-// compareSummaries orders attempts by task, number and begin.
+// compareSummaries orders attempts by task, number and start time.
 func compareSummaries(a, b *pb.Summary) int {
 	return cmp.Or(
 		cmp.Compare(a.Attempt.Task, b.Attempt.Task),
@@ -141,17 +143,17 @@
 	)
 }
 
-// notFoundError says that nothing was found; if members did not answer, what is
-// looked for may still exist.
+// notFoundError returns the error for an empty result. If members did not respond, the
+// result may be incomplete, so the error is ErrUnavailable.
 func (f *selectionFlags) notFoundError(unreachable map[string]bool) error {
 	if len(unreachable) > 0 {
-		return fmt.Errorf("%w: nothing found, and not all stores answer", client.ErrUnavailable)
+		return fmt.Errorf("%w: nothing found, but not all stores responded", client.ErrUnavailable)
 	}
 	return fmt.Errorf("nothing is kept of %s", f.Target)
 }
 
 func warnUnreachable(unreachable map[string]bool) {
 	for name := range unreachable {
-		fmt.Fprintf(os.Stderr, "store %s does not answer: what only it holds is missing\n", name)
+		fmt.Fprintf(os.Stderr, "store %s does not respond: attempts that only it holds are missing\n", name)
 	}
 }
--- a/cmd/outputs/serve.go
+++ b/cmd/outputs/serve.go
@@ -11,7 +11,7 @@
 	"reedtrack/internal/outputs/daemon"
 )
 
-// settingsFlags say what store to run; check takes the same ones as serve.
+// settingsFlags are the flags that configure a store, shared by serve and check.
 type settingsFlags struct {
 	Config    string `placeholder:"FILE" help:"Settings of the platform (TOML), for the state service's address and limits. Absent: the store is alone."`
 	Operator  string `placeholder:"FILE" env:"REEDTRACK_OPERATOR" help:"Operators' own settings (XML)."`
@@ -22,7 +22,7 @@
 	Data      string `required:"" placeholder:"DIR" help:"Directory of what it keeps; made if need be."`
 }
 
-// load reads the settings and checks them together with the flags.
+// load reads the settings files and validates them together with the flags.
 func (f *settingsFlags) load() (daemon.Config, error) {
 	outputs, err := config.LoadOutputs(f.Operator)
 	if err != nil {
@@ -46,10 +46,10 @@
 	return c, c.Check()
 }
 
-// serveCmd is the command serve.
+// serveCmd implements the command serve.
 type serveCmd struct{ settingsFlags }
 
-// Run runs the store until a signal ends it.
+// Run runs the store until it receives SIGINT or SIGTERM.
 func (s *serveCmd) Run() error {
 	slog.SetDefault(slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: logLevel()})))
 	c, err := s.load()
@@ -70,8 +70,8 @@
 	return d.Close()
 }
 
-// logLevel is that of the environment variable LOG_LEVEL; info unless it names
-// another.
+// logLevel returns the log level set by the environment variable LOG_LEVEL; the
+// default is info.
 func logLevel() slog.Level {
 	switch os.Getenv("LOG_LEVEL") {
 	case "debug":
--- a/cmd/outputs/show.go
+++ b/cmd/outputs/show.go
@@ -13,18 +13,18 @@
 	pb "reedtrack/internal/outputs/outputsv1"
 )
 
-// outputPrinter prints an attempt's output to standard output, and what is missing
-// of it to standard error.
+// outputPrinter prints an attempt's output to standard output, and reports missing
+// parts on standard error.
 type outputPrinter struct {
-	raw        bool // the task's own bytes and nothing else, not escaped
-	checksSeal bool // all of the output is read, so it must match the seal
-	complete   bool // nothing was missing but what the limits left out
+	raw        bool // print the task's bytes unescaped and without gap messages
+	checksSeal bool // all of the output is read, so its digest must match the seal
+	complete   bool // nothing is missing except what the limits left out
 	bar        *progressBar
 }
 
-// showOutput prints an attempt's output. It returns whether that was complete.
+// showOutput prints an attempt's output and reports whether it was complete.
 func (c *logsCmd) showOutput(ctx context.Context, stores *client.Client, attempt *pb.Attempt, sinceNs int64) (complete bool, err error) {
-	// A terminal gets nothing that steers it; a file gets what was written.
+	// Escape control characters for a terminal; write the original bytes to a file.
 	toTerminal := term.IsTerminal(int(os.Stdout.Fd()))
 	printer := &outputPrinter{
 		raw:        c.Raw || !toTerminal,
@@ -46,7 +46,7 @@
 	return printer.complete, err
 }
 
-// streams are those asked for; nil: all.
+// streams returns the selected streams; nil means all.
 func (c *logsCmd) streams() []pb.Stream {
 	switch c.Stream {
 	case "stdout":
@@ -80,13 +80,14 @@
 	return outputs.Escape(text, record.Data)
 }
 
-// appendGap tells what the limits have left out in one place.
+// appendGap reports output that the limits have left out: in the text, or in raw mode on
+// standard error.
 func (p *outputPrinter) appendGap(text, data []byte) []byte {
 	var gap pb.Gap
 	if proto.Unmarshal(data, &gap) != nil {
 		return text
 	}
-	if p.raw { // not among the task's own bytes
+	if p.raw { // keep the message out of the task's bytes
 		fmt.Fprintln(os.Stderr, outputs.FormatGap(&gap))
 		return text
 	}
@@ -94,17 +95,17 @@
 	return append(text, '\n')
 }
 
-// reportMissing tells what could not be read.
+// reportMissing reports output that could not be read.
 func (p *outputPrinter) reportMissing(message *pb.ReadResponse) {
 	if hole := message.Hole; hole != nil {
 		p.complete = false
-		fmt.Fprintf(os.Stderr, "[reedtrack: records %d to %d can't be had now: no store that answers has them]\n", hole.From, hole.To-1)
+		fmt.Fprintf(os.Stderr, "[reedtrack: records %d to %d are unavailable: no store that responds has them]\n", hole.From, hole.To-1)
 	}
 	for _, name := range message.Unreachable {
-		fmt.Fprintf(os.Stderr, "[reedtrack: store %s does not answer: what only it holds of this open attempt is missing]\n", name)
+		fmt.Fprintf(os.Stderr, "[reedtrack: store %s does not respond: records of this open attempt that only it holds are missing]\n", name)
 	}
 	if message.End && p.checksSeal && p.complete && !message.Intact {
 		p.complete = false
-		fmt.Fprintln(os.Stderr, "[reedtrack: this is not all that was written, or not as it was: the seal does not match]")
+		fmt.Fprintln(os.Stderr, "[reedtrack: the output is incomplete or damaged: its digest does not match the seal]")
 	}
 }
--- a/cmd/outputs/token.go
+++ b/cmd/outputs/token.go
@@ -8,14 +8,14 @@
 	"reedtrack/internal/outputs/access"
 )
 
-// tokenCmd is the command token.
+// tokenCmd implements the command token.
 type tokenCmd struct {
 	Team string `help:"The team; none for roles all and peer."`
 	Role string `enum:"write,read,all,peer" default:"write" help:"write, read, all (operators, reads every team's) or peer (stores among themselves)."`
 }
 
-// Run makes a token. The secret goes alone to standard output, so that it can be
-// redirected into a file.
+// Run generates a token. Only the secret goes to standard output, so that it can be
+// redirected to a file.
 func (t *tokenCmd) Run() error {
 	role := access.Role(t.Role)
 	needsTeam := role == access.RoleWrite || role == access.RoleRead
@@ -28,6 +28,6 @@
 		team = "<team>" + t.Team + "</team>"
 	}
 	fmt.Println(secret)
-	fmt.Fprintf(os.Stderr, "the token above is shown only now; in the stores' settings:\n<token>%s<role>%s</role><sha256>%s</sha256></token>\n", team, t.Role, hash)
+	fmt.Fprintf(os.Stderr, "the token above is not shown again; add to the stores' settings:\n<token>%s<role>%s</role><sha256>%s</sha256></token>\n", team, t.Role, hash)
 	return nil
 }
--- a/cmd/outputs/verify.go
+++ b/cmd/outputs/verify.go
@@ -11,25 +11,25 @@
 	"reedtrack/internal/outputs/disk"
 )
 
-// progressInterval is how often a long command tells how far it is.
+// progressInterval is the time between two progress messages of a long command.
 const progressInterval = 2 * time.Second
 
-// verifyCmd is the command verify.
+// verifyCmd implements the command verify.
 type verifyCmd struct {
 	Data string `arg:"" help:"Directory of a store that does not run."`
 }
 
-// verifyReport is what verify prints. The fields stand in the order of their names.
+// verifyReport is the output of verify. The fields are in alphabetical order.
 type verifyReport struct {
 	Attempts    uint64 `json:"attempts"`
 	Bytes       uint64 `json:"bytes"`
 	Damaged     int    `json:"damaged"`
 	Entries     int    `json:"entries"`
-	NotAsSealed int    `json:"not_as_sealed"` // attempts whose digest is not their seal's
+	NotAsSealed int    `json:"not_as_sealed"` // attempts whose digest does not match their seal
 	Segments    int    `json:"segments"`
 }
 
-// Run reads everything that a store keeps.
+// Run reads and verifies all data of a store.
 func (v *verifyCmd) Run() error {
 	if _, err := os.Stat(v.Data); err != nil {
 		return &config.FieldError{File: "outputs verify", Field: v.Data, Reason: err.Error()}
@@ -65,7 +65,7 @@
 	}
 	fmt.Println(string(report))
 	if damaged := found.Damaged + len(found.Mismatched); damaged > 0 {
-		return fmt.Errorf("%d entries or attempts are damaged; the store copies them again from another when it runs", damaged)
+		return fmt.Errorf("%d entries or attempts are damaged; when the store runs, it replaces them with copies from other stores", damaged)
 	}
 	return nil
 }
--- a/cmd/outputsbench/cluster.go
+++ b/cmd/outputsbench/cluster.go
@@ -17,18 +17,18 @@
 )
 
 const (
-	// joinDelay is how long stores take until each has heard of all others.
+	// joinDelay is the time after which every store has discovered all others.
 	joinDelay = 3 * time.Second
-	// startTimeout bounds the start of a store; one that has lost the index of much
-	// data reads all of it.
+	// startTimeout is the time limit for the start of a store. It allows for a store
+	// that has lost its index and rebuilds it from all of its data.
 	startTimeout = 60 * time.Second
 )
 
-// noLimits are settings under which stores take as much as they can.
+// noLimits are settings with limits too high to take effect.
 const noLimits = `<attempt><mb>100000</mb><kb-per-s>10000000</kb-per-s></attempt>`
 
-// platformSettings are those of the platform, of which stores use the state
-// service's. The address of that is filled in.
+// platformSettings is a template of the platform's settings, of which stores use those
+// of the state service. Its parameter is the address of the state service.
 const platformSettings = `host_name = "bench"
 location = "a"
 listen = "127.0.0.1:1"
@@ -53,18 +53,19 @@
 list_lag_s = 1.0
 `
 
-// storeCluster is an emulated key-value store and some stores of outputs as processes.
+// storeCluster is an emulated key-value store and several stores of outputs, which run as
+// separate processes.
 type storeCluster struct {
-	bin          string // the program of the stores
-	dir          string // holds each store's data directory and log
+	bin          string // executable of the stores
+	dir          string // contains each store's data directory and log
 	platformFile string
 	outputsFile  string
 	stateServer  *http.Server
 	stores       []*storeProcess
 }
 
-// newStoreCluster starts so many stores in two zones. The settings are the content of the
-// element outputs.
+// newStoreCluster starts a number of stores in two zones. settings is the content of the
+// element outputs in the stores' settings file.
 func newStoreCluster(bin, dir string, stores int, settings string) (*storeCluster, error) {
 	f := &storeCluster{
 		bin:          bin,
@@ -135,23 +136,23 @@
 	return ln.Addr().String(), nil
 }
 
-// storeProcess is a store of a fleet.
+// storeProcess is one store of a cluster.
 type storeProcess struct {
 	cluster *storeCluster
 	name    string
 	zone    string
 	addr    string
-	cmd     *exec.Cmd // nil: it does not run
+	cmd     *exec.Cmd // nil if the store does not run
 }
 
 func (s *storeProcess) dataDir() string { return filepath.Join(s.cluster.dir, s.name) }
 
-// newClient returns a client of this store alone.
+// newClient returns a client of this store only.
 func (s *storeProcess) newClient() (*client.Client, error) {
 	return client.New([]string{s.addr}, "", "")
 }
 
-// start runs the store and returns when it listens.
+// start starts the store and waits until it listens.
 func (s *storeProcess) start() error {
 	log, err := os.OpenFile(s.dataDir()+".log", os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
@@ -174,7 +175,7 @@
 			return nil
 		}
 	}
-	return fmt.Errorf("%s does not listen; its log is in %s", s.name, s.cluster.dir)
+	return fmt.Errorf("store %s does not listen; its log is in %s", s.name, s.cluster.dir)
 }
 
 func (s *storeProcess) kill() {
@@ -185,7 +186,7 @@
 	}
 }
 
-// residentMB returns the store's resident memory in MB: now, and the most so far.
+// residentMB returns the store's current and peak resident memory in MB.
 func (s *storeProcess) residentMB() (now, peak float64) {
 	raw, _ := os.ReadFile(fmt.Sprintf("/proc/%d/status", s.cmd.Process.Pid))
 	for _, line := range strings.Split(string(raw), "\n") {
@@ -204,7 +205,7 @@
 	return now, peak
 }
 
-// diskBytes is what the files of the store's data directory take.
+// diskBytes returns the total size of the files in the store's data directory.
 func (s *storeProcess) diskBytes() int64 {
 	var total int64
 	filepath.Walk(s.dataDir(), func(_ string, info os.FileInfo, err error) error {
--- a/cmd/outputsbench/kills.go
+++ b/cmd/outputsbench/kills.go
@@ -22,12 +22,12 @@
 	maxKillBlockBytes = 4 * kibibyte
 	appendTimeout     = 5 * time.Second
 	appendRetryDelay  = 5 * time.Millisecond
-	// repairDelay lets the stores copy what one of them lacks after the last kill.
+	// repairDelay gives the stores time to repair missing copies after the last kill.
 	repairDelay = 3 * time.Second
 )
 
-// kills kills one store of two after the other, at random moments, while writers
-// write, and checks at the end that all that was acknowledged is read from each.
+// kills alternately kills two stores at random times while writers append to them. At
+// the end it checks that all acknowledged records can be read from each store.
 func (o *options) kills(ctx context.Context, dir string) error {
 	f, err := newStoreCluster(o.Bin, dir, 2, killSettings+noLimits)
 	if err != nil {
@@ -56,7 +56,7 @@
 	return nil
 }
 
-// startKillWriters starts writers, which write until stop is called.
+// startKillWriters starts writers that append until stop is called.
 func (f *storeCluster) startKillWriters(ctx context.Context, ackedBlocks *atomic.Int64) (writers []*attemptWriter, stop func(), err error) {
 	text := logText(4, 8*mebibyte)
 	for i := range killWriters {
@@ -75,8 +75,8 @@
 	return writers, func() { cancel(); running.Wait() }, nil
 }
 
-// writeThroughKills appends small blocks until the context ends, each again until
-// it is acknowledged, at the other store after a failure.
+// writeThroughKills appends small blocks until the context ends. It retries each block
+// until it is acknowledged, after each failure at the other store.
 func (w *attemptWriter) writeThroughKills(ctx context.Context, firstStore int, ackedBlocks *atomic.Int64) {
 	addrs := w.stores.Addresses()
 	store := firstStore
@@ -99,7 +99,7 @@
 	return w.append(ctx, addr, records)
 }
 
-// killInTurn kills the stores in turn and starts each again.
+// killInTurn kills and restarts the stores in turn.
 func (f *storeCluster) killInTurn(kills int, ackedBlocks *atomic.Int64) error {
 	rnd := rand.New(rand.NewPCG(3, 3))
 	start := time.Now()
@@ -118,8 +118,8 @@
 	return nil
 }
 
-// countWrongLogs reads each writer's log through each store, prints those that lack
-// something acknowledged, and counts them.
+// countWrongLogs reads each writer's log through each store, and prints and counts the
+// logs that lack acknowledged records or contain wrong ones.
 func (f *storeCluster) countWrongLogs(ctx context.Context, writers []*attemptWriter) (int, error) {
 	wrong := 0
 	for i, w := range writers {
@@ -139,11 +139,12 @@
 	return wrong, nil
 }
 
-// ackedLog checks that a log has no gaps, and sums up what of it was acknowledged.
+// ackedLog checks that the records of a log are consecutive, and computes the digest of
+// the acknowledged ones.
 type ackedLog struct {
 	acked   uint64
-	records uint64          // read so far; those not acknowledged may follow
-	digest  *outputs.Digest // of the first acked ones
+	records uint64          // read so far; may include unacknowledged ones at the end
+	digest  *outputs.Digest // of the first acked records
 }
 
 func (l *ackedLog) check(m *pb.ReadResponse) error {
--- a/cmd/outputsbench/large.go
+++ b/cmd/outputsbench/large.go
@@ -12,13 +12,13 @@
 )
 
 const (
-	largeAttemptBytes = 200 // of each task of the large job
-	largeSamples      = 300 // of each time of which a median is given
+	largeAttemptBytes = 200 // output of each task of the large job
+	largeSamples      = 300 // measurements for each percentile
 	largePageSize     = 1000
-	firstPageSize     = 100 // as the command logs asks for
+	firstPageSize     = 100 // default limit of the command logs
 )
 
-// largeJob measures how long it takes to find things of a job of many tasks.
+// largeJob measures listings and look-ups in a job with many tasks.
 func (o *options) largeJob(ctx context.Context, dir string) error {
 	f, err := newStoreCluster(o.Bin, dir, 2, noLimits)
 	if err != nil {
@@ -44,12 +44,12 @@
 	}
 	for _, store := range f.stores {
 		memory, peak := store.residentMB()
-		fmt.Printf("memory of %s                               %.0f MB, at most %.0f\n", store.name, memory, peak)
+		fmt.Printf("memory of %s                               %.0f MB, peak %.0f\n", store.name, memory, peak)
 	}
 	return nil
 }
 
-// measureListing prints how long the listing of all pages takes.
+// measureListing prints the time to list all pages.
 func measureListing(ctx context.Context, stores *client.Client, which pb.Which) error {
 	start, listed := time.Now(), 0
 	request := &pb.ListRequest{Job: benchJob, Which: which, Limit: largePageSize}
@@ -63,7 +63,8 @@
 	return nil
 }
 
-// measureLookups prints how long a first page takes, and finding and reading a task.
+// measureLookups prints the time to list a first page, and the time to find and read
+// one task.
 func (o *options) measureLookups(ctx context.Context, stores *client.Client) error {
 	var pageTimes, taskTimes []time.Duration
 	for i := range largeSamples {
@@ -83,7 +84,7 @@
 	return nil
 }
 
-// readTask finds and reads one task, whose number is taken modulo that of the tasks.
+// readTask finds and reads one task; its number is taken modulo the number of tasks.
 func readTask(ctx context.Context, stores *client.Client, task, tasks int) error {
 	page, err := stores.List(ctx, &pb.ListRequest{Job: benchJob, Task: proto.Uint32(uint32(task % tasks))})
 	if err != nil || len(page.Attempts) != 1 {
--- a/cmd/outputsbench/latency.go
+++ b/cmd/outputsbench/latency.go
@@ -12,15 +12,15 @@
 )
 
 const (
-	// clockScript writes the time in nanoseconds a hundred times.
+	// clockScript prints the current time in nanoseconds a hundred times.
 	clockScript = "i=0; while [ $i -lt 100 ]; do i=$((i+1)); date +%s%N; sleep 0.07; done"
-	// listTimeout bounds the time until an attempt that has begun is listed.
+	// listTimeout is the time limit for a new attempt to appear in the listing.
 	listTimeout  = 10 * time.Second
 	listInterval = 50 * time.Millisecond
 )
 
-// latency measures the time from a line that a task writes until a reader who
-// follows it at another store has it.
+// latency measures the time from when a task writes a line until a reader that
+// follows it through another store receives the line.
 func (o *options) latency(ctx context.Context, dir string) error {
 	f, err := newStoreCluster(o.Bin, dir, 2, noLimits)
 	if err != nil {
@@ -43,7 +43,7 @@
 	if err != nil {
 		return err
 	}
-	fmt.Printf("a line written to a line read, 2 stores: median %v, 99%% %v, %d lines\n", percentile(delays, .5), percentile(delays, .99), len(delays))
+	fmt.Printf("from line written to line read, 2 stores: median %v, 99%% %v, %d lines\n", percentile(delays, .5), percentile(delays, .99), len(delays))
 	return cmd.Wait()
 }
 
@@ -55,11 +55,11 @@
 			return page.Attempts[0].Attempt, nil
 		}
 	}
-	return nil, errors.New("the attempt is not listed")
+	return nil, errors.New("the attempt did not appear in the listing")
 }
 
-// followClock reads the times that a task writes and returns how old each is. The
-// first message is left out: it holds what was written before the reader came.
+// followClock reads the timestamps that a task writes and returns the delay of each. It
+// ignores the first message, which contains lines written before the read began.
 func followClock(ctx context.Context, stores *client.Client, attempt *pb.Attempt) ([]time.Duration, error) {
 	var delays []time.Duration
 	isFirst := true
--- a/cmd/outputsbench/main.go
+++ b/cmd/outputsbench/main.go
@@ -1,9 +1,9 @@
-// Command outputsbench measures stores of outputs on one machine.
+// Command outputsbench benchmarks stores of outputs on one machine.
 //
-// The stores run as processes of their own. Rates are given beside those of plain
-// loops of write and sync on the same disk in the same run, so that figures of
-// different machines can be compared. The benchmark kills is a test: it kills
-// stores again and again and checks that nothing acknowledged is lost.
+// The stores run as separate processes. Throughput is reported relative to a plain
+// loop of write and sync on the same disk in the same run, so that results from
+// different machines can be compared. The benchmark kills is a test: it repeatedly
+// kills stores and checks that no acknowledged output is lost.
 //
 //	go build -o target/ ./cmd/... && target/outputsbench --bin target/outputs all
 package main
@@ -31,7 +31,7 @@
 // allBenchmarks selects every benchmark on the command line.
 const allBenchmarks = "all"
 
-// options are the command line.
+// options defines the command line.
 type options struct {
 	Bin          string        `default:"target/outputs" help:"The program that is measured."`
 	Dir          string        `default:"" help:"Where its data goes; a temporary directory if absent."`
@@ -42,7 +42,8 @@
 	Benchmarks   []string      `name:"what" arg:"" optional:"" help:"throughput, latency, restart, large, repair, kills, or all."`
 }
 
-// benchmark is one measurement. It prints its figures and keeps its data in dir.
+// benchmark is one benchmark. Its function prints the results and stores its data in
+// dir.
 type benchmark struct {
 	name string
 	run  func(o *options, ctx context.Context, dir string) error
@@ -66,8 +67,8 @@
 	}
 }
 
-// run runs the benchmarks that were asked for. After a failure the data and the
-// logs of the stores are left.
+// run runs the selected benchmarks. After a failure it keeps the data and logs of the
+// stores.
 func (o *options) run(ctx context.Context) error {
 	dir := o.Dir
 	if dir == "" {
@@ -101,11 +102,12 @@
 	return len(o.Benchmarks) == 0 || slices.Contains(o.Benchmarks, allBenchmarks) || slices.Contains(o.Benchmarks, name)
 }
 
-// capturePath is the program capture, which stands beside the one measured.
+// capturePath returns the path of the program capture, which is expected in the same
+// directory as the measured program.
 func (o *options) capturePath() string { return filepath.Join(filepath.Dir(o.Bin), "capture") }
 
-// percentile returns the duration that a share of a list does not exceed. It sorts
-// the list.
+// percentile returns the quantile of a list of durations for a share from 0 to 1. It
+// sorts the list in place.
 func percentile(durations []time.Duration, share float64) time.Duration {
 	slices.Sort(durations)
 	if len(durations) == 0 {
--- a/cmd/outputsbench/repair.go
+++ b/cmd/outputsbench/repair.go
@@ -11,9 +11,10 @@
 )
 
 const (
-	// repairSettings let repair begin at once and run as fast as it can.
+	// repairSettings make repair start without delay and run at full speed.
 	repairSettings = "<lease-s>3</lease-s><repair><every-s>1</every-s><after-s>0</after-s><mb-per-s>1000</mb-per-s></repair>"
-	// leaseSeconds is the lease in repairSettings: for so long nothing is copied.
+	// leaseSeconds is the lease in repairSettings. Repair starts only once the lease of
+	// the lost member has expired.
 	leaseSeconds = 3
 
 	repairTotalBytes   = 2 * gigabyte
@@ -21,11 +22,11 @@
 	repairTimeout      = 5 * time.Minute
 	repairPollInterval = 100 * time.Millisecond
 
-	lateTask = 99999 // written while a member is away
+	lateTask = 99999 // written while a member is down
 )
 
-// repair measures how long it takes to replace a member that is lost with its disk,
-// and one to come back that lacks almost nothing.
+// repair measures the time to restore all copies after a member is lost with its disk,
+// and the time to bring a returning member up to date that lacks one attempt.
 func (o *options) repair(ctx context.Context, dir string) error {
 	f, err := newStoreCluster(o.Bin, dir, 3, repairSettings+noLimits)
 	if err != nil {
@@ -45,8 +46,8 @@
 	return f.measureReturningMember(ctx, f.stores[1], attempts)
 }
 
-// awaitTwoCopies waits until so many attempts are held twice, and returns how long
-// that took.
+// awaitTwoCopies waits until the given number of attempts have two copies, and returns
+// the time that took.
 func (f *storeCluster) awaitTwoCopies(ctx context.Context, attempts int) (time.Duration, error) {
 	stores, err := f.stores[0].newClient()
 	if err != nil {
@@ -64,7 +65,7 @@
 			return time.Since(start).Round(10 * time.Millisecond), nil
 		}
 	}
-	return 0, errors.New("not whole in 5 minutes")
+	return 0, errors.New("attempts still lack copies after 5 minutes")
 }
 
 func (f *storeCluster) measureLostMember(ctx context.Context, lost *storeProcess, attempts int) error {
@@ -76,7 +77,7 @@
 		return err
 	}
 	copying := max(0.1, duration.Seconds()-leaseSeconds)
-	fmt.Printf("a member of three lost with %.0f MB (of %d attempts in all): %v until everything is held twice, 3 s of them its lease: %.0f MB/s\n",
+	fmt.Printf("one of three members lost, with %.0f MB (%d attempts in total): %v until everything has two copies, 3 s of it its lease: %.0f MB/s\n",
 		lostMB, attempts, duration, lostMB/copying)
 	return nil
 }
@@ -94,11 +95,11 @@
 	if err != nil {
 		return err
 	}
-	fmt.Printf("a member back with all but one of %d attempts: %v until that is held twice\n", attempts, duration)
+	fmt.Printf("a member returned that lacks one of %d attempts: %v until that one has two copies\n", attempts, duration)
 	return nil
 }
 
-// writeLateAttempt writes an attempt at the first store.
+// writeLateAttempt writes an attempt to the first store.
 func (f *storeCluster) writeLateAttempt(ctx context.Context) error {
 	w, err := newAttemptWriter(f.addresses()[:1], lateTask)
 	if err != nil {
--- a/cmd/outputsbench/restart.go
+++ b/cmd/outputsbench/restart.go
@@ -10,12 +10,12 @@
 
 const (
 	restartAttemptBytes = 4 * mebibyte
-	lineBytes           = 100 // of a line of text, about
+	lineBytes           = 100 // approximate length of a line of logText
 	indexFile           = "index.db"
 )
 
-// restart measures the time until a store that was killed answers again: at once
-// after writes, a while later, and after the loss of its index.
+// restart measures the time until a killed store listens again: when killed right after
+// writes, when killed a while later, and after the loss of its index.
 func (o *options) restart(ctx context.Context, dir string) error {
 	f, err := newStoreCluster(o.Bin, dir, 1, "<copies>1</copies>"+noLimits)
 	if err != nil {
@@ -28,7 +28,7 @@
 	}
 	store := f.stores[0]
 	_, peak := store.residentMB()
-	fmt.Printf("%.1f GB, %.1f million lines, %.0f MB on disk; memory at most %.0f MB\n",
+	fmt.Printf("%.1f GB, %.1f million lines, %.0f MB on disk; peak memory %.0f MB\n",
 		float64(size)/gigabyte, float64(size)/lineBytes/1e6, float64(store.diskBytes())/megabyte, peak)
 	if err := measureRestart(store, "killed at once", false); err != nil {
 		return err
@@ -40,7 +40,7 @@
 	return measureRestart(store, "index lost", true)
 }
 
-// measureRestart kills a store and prints how long its next start takes.
+// measureRestart kills a store and prints the duration of its next start.
 func measureRestart(store *storeProcess, label string, loseIndex bool) error {
 	store.kill()
 	if loseIndex {
--- a/cmd/outputsbench/throughput.go
+++ b/cmd/outputsbench/throughput.go
@@ -15,14 +15,14 @@
 )
 
 const (
-	plainBlockBytes = 512 * kibibyte // of one write and sync of the plain loop
+	plainBlockBytes = 512 * kibibyte // per write and sync of the plain loop
 	refusedDelay    = 100 * time.Millisecond
-	// settleDelay lets the stores write what they do after an answer.
+	// settleDelay gives the stores time to finish writes that follow their response.
 	settleDelay = 2 * time.Second
 )
 
-// throughputCase is a number of writers at a number of stores, each with blocks of
-// a size. Every store holds a copy.
+// throughputCase is a number of writers that append blocks of a given size to a number
+// of stores. Every store holds a copy.
 type throughputCase struct {
 	stores     int
 	writers    int
@@ -36,8 +36,8 @@
 	{stores: 2, writers: 1000, blockBytes: 64 * kibibyte},
 }
 
-// throughput compares writers of a store with a plain loop of write and sync and a
-// plain compressed copy.
+// throughput compares the write rate of the stores with that of a plain loop of write
+// and sync. It also prints the rate of that loop with compression.
 func (o *options) throughput(ctx context.Context, dir string) error {
 	text := logText(1, 64*mebibyte)
 	plain, err := o.plainLoop(dir, text, false)
@@ -58,7 +58,7 @@
 	return o.measureOneTask(dir, text, plain)
 }
 
-// plainLoop returns the rate in MB/s of text that is written and synced in blocks.
+// plainLoop returns the rate, in MB/s of text, at which a loop writes and syncs blocks.
 func (o *options) plainLoop(dir string, text []byte, compress bool) (float64, error) {
 	file, err := os.Create(filepath.Join(dir, "plain"))
 	if err != nil {
@@ -89,13 +89,13 @@
 	return float64(written) / megabyte / time.Since(start).Seconds(), nil
 }
 
-// writeCounts is what became of the blocks of many writers.
+// writeCounts counts the results of the appends of all writers.
 type writeCounts struct {
-	bytes   atomic.Int64 // acknowledged
-	refused atomic.Int64
+	bytes   atomic.Int64 // data bytes acknowledged
+	refused atomic.Int64 // appends that failed
 }
 
-// measureThroughput prints the rate of one case beside that of the plain loop.
+// measureThroughput prints the rate of one case and its ratio to that of the plain loop.
 func (o *options) measureThroughput(ctx context.Context, dir string, c throughputCase, text []byte, plain float64) error {
 	caseDir := filepath.Join(dir, fmt.Sprintf("%d-%d", c.stores, c.writers))
 	if err := os.MkdirAll(caseDir, 0o755); err != nil {
@@ -115,13 +115,13 @@
 	time.Sleep(settleDelay)
 	f.stop()
 	diskPerByte := float64(f.stores[0].diskBytes()) / float64(counts.bytes.Load())
-	fmt.Printf("%d store(s), %4d writer(s) of %3d KiB      %7.1f MB/s, %.2f of the plain loop; %.3f bytes on a disk per byte; memory %.0f MB, at most %.0f; %d refused\n",
+	fmt.Printf("%d store(s), %4d writer(s) of %3d KiB      %7.1f MB/s, %.2f of the plain loop; %.3f bytes on a disk per byte; memory %.0f MB, peak %.0f; %d refused\n",
 		c.stores, c.writers, c.blockBytes/kibibyte, mbPerSecond, mbPerSecond/plain, diskPerByte, memory, peak, counts.refused.Load())
 	os.RemoveAll(caseDir)
 	return nil
 }
 
-// runWriters lets the writers of a case write for the time of a rate.
+// runWriters runs the writers of a case for RateDuration.
 func (o *options) runWriters(ctx context.Context, f *storeCluster, c throughputCase, text []byte, counts *writeCounts) error {
 	ctx, cancel := context.WithTimeout(ctx, o.RateDuration)
 	defer cancel()
@@ -140,7 +140,7 @@
 	return nil
 }
 
-// writeUntilDone appends one block after the other until the context ends.
+// writeUntilDone appends blocks sequentially until the context ends.
 func (w *attemptWriter) writeUntilDone(ctx context.Context, addr string, blockBytes int, counts *writeCounts) {
 	records := w.nextRecords(blockBytes)
 	for ctx.Err() == nil {
@@ -156,8 +156,8 @@
 	}
 }
 
-// measureOneTask prints the rate of a task that writes as fast as it can, through
-// capture and its spool.
+// measureOneTask prints the rate of a task that writes at full speed through a capture
+// and its spool.
 func (o *options) measureOneTask(dir string, text []byte, plain float64) error {
 	const repeats = 8
 	file := filepath.Join(dir, "text")
@@ -180,7 +180,7 @@
 	return nil
 }
 
-// captureCommand is a capture of one task that ships to the first store.
+// captureCommand returns a capture command for one task that ships to the first store.
 func (o *options) captureCommand(f *storeCluster, more ...string) *exec.Cmd {
 	args := []string{"--job", benchJob, "--task", "0", "--try", "1", "--team", "red", "--to", f.stores[0].addr, "--spool", filepath.Join(f.dir, "spool")}
 	cmd := exec.Command(o.capturePath(), append(args, more...)...)
--- a/cmd/outputsbench/writer.go
+++ b/cmd/outputsbench/writer.go
@@ -16,25 +16,26 @@
 	pb "reedtrack/internal/outputs/outputsv1"
 )
 
-// benchJob is the job of all attempts.
+// benchJob is the job ID of all attempts.
 const benchJob = "wk-000001"
 
-// recordBytes is the size of full records, as a capture reads them from a pipe.
+// recordBytes is the size of full records, modelled on the reads of a capture from a
+// pipe.
 const recordBytes = 32 * kibibyte
 
-// attemptWriter writes one attempt without a spool, at the stores' own speed.
+// attemptWriter writes one attempt to the stores directly, without a spool.
 type attemptWriter struct {
 	stores  *client.Client
 	attempt *pb.Attempt
 	secret  []byte
-	text    []byte // written again and again
-	offset  int    // in text, of what comes next
+	text    []byte // source of the records' data, repeated as needed
+	offset  int    // position in text of the next record
 
-	acked  uint64          // records acknowledged
-	digest *outputs.Digest // of these
+	acked  uint64          // number of records acknowledged
+	digest *outputs.Digest // of the acknowledged records
 }
 
-// newAttemptWriter makes a writer of a task, with a client of its own.
+// newAttemptWriter creates a writer for a task, with a separate client.
 func newAttemptWriter(addrs []string, task int) (*attemptWriter, error) {
 	stores, err := client.New(addrs, "", "")
 	if err != nil {
@@ -53,7 +54,7 @@
 	}
 }
 
-// nextRecords makes the next records, of so many bytes in all.
+// nextRecords returns the next records, with size bytes of data in total.
 func (w *attemptWriter) nextRecords(size int) []*pb.Record {
 	var records []*pb.Record
 	for size > 0 {
@@ -73,7 +74,7 @@
 	return records
 }
 
-// append sends records once, and counts them if they are acknowledged.
+// append sends records without retries, and counts them if they are acknowledged.
 func (w *attemptWriter) append(ctx context.Context, addr string, records []*pb.Record) error {
 	_, err := w.stores.Writer(addr).Append(ctx, connect.NewRequest(&pb.AppendRequest{
 		Attempt: w.attempt,
@@ -101,14 +102,14 @@
 }
 
 const (
-	fillWorkers    = 16             // attempts written at once
-	fillBlockBytes = 256 * kibibyte // of one append
-	fillRetries    = 50             // of one append that is refused
+	fillWorkers    = 16             // attempts written concurrently
+	fillBlockBytes = 256 * kibibyte // per append
+	fillRetries    = 50             // per failed append
 	fillRetryDelay = 100 * time.Millisecond
-	failedEvery    = 50 // one attempt of so many has failed
+	failedEvery    = 50 // one in this many attempts has exit status 1
 )
 
-// writeWhole writes and seals an attempt of a size.
+// writeWhole writes and seals an attempt with size bytes of output.
 func (w *attemptWriter) writeWhole(ctx context.Context, addr string, size int, exit int32) error {
 	for left := size; left > 0; left -= fillBlockBytes {
 		records := w.nextRecords(min(left, fillBlockBytes))
@@ -129,8 +130,8 @@
 	}
 }
 
-// fill writes attempts of a size each until there are so many bytes, and returns
-// how many attempts that were.
+// fill writes attempts of attemptBytes each, total bytes in all, and returns the number
+// of attempts.
 func (f *storeCluster) fill(ctx context.Context, total int64, attemptBytes int) (int, error) {
 	text := logText(2, 64*mebibyte)
 	attempts := int(total / int64(attemptBytes))
@@ -148,8 +149,8 @@
 	return attempts, errors.Join(failures...)
 }
 
-// fillTasks writes the attempts of tasks from a channel, and ends at the first
-// failure.
+// fillTasks writes the attempts of the tasks from a channel and stops at the first
+// error.
 func (f *storeCluster) fillTasks(ctx context.Context, tasks <-chan int, text []byte, attemptBytes int) error {
 	stores, err := client.New(f.addresses(), "", "")
 	if err != nil {
@@ -169,8 +170,8 @@
 
 var logWords = strings.Fields("solve maze card limit proof check settle render cut piece step depth cache hit miss retry open close read write node edge cost path bound prune accept reject")
 
-// logText makes lines of about 100 bytes as programs write them, always the same
-// for a seed.
+// logText generates lines of about 100 bytes that resemble the log of a program. The
+// result is determined by the seed.
 func logText(seed uint64, size int) []byte {
 	rnd := rand.New(rand.NewPCG(seed, 1))
 	word := func() string { return logWords[rnd.IntN(len(logWords))] }
--- a/internal/outputs/client/client.go
+++ b/internal/outputs/client/client.go
@@ -45,7 +45,7 @@
 	retryBudget *rate.Limiter
 
 	// OnUnavailable, if set, is called once with the latest error when a request has
-	// failed at all stores for more than a second. Set it before the first request.
+	// been failing for more than a second. Set it before the first request.
 	OnUnavailable func(err error)
 	notifyOnce    sync.Once
 
