--- a/cmd/outputsbench/fleet.go
+++ b/cmd/outputsbench/cluster.go
@@ -17,18 +17,18 @@
 )
 
 const (
-	// joinDelay is how long stores take until each has heard of all others.
+	// joinDelay is the time after which every store has discovered all others.
 	joinDelay = 3 * time.Second
-	// startTimeout bounds the start of a store; one that has lost the index of much
-	// data reads all of it.
+	// startTimeout is the time limit for the start of a store. It allows for a store
+	// that has lost its index and rebuilds it from all of its data.
 	startTimeout = 60 * time.Second
 )
 
-// noLimits are settings under which stores take as much as they can.
+// noLimits are settings with limits too high to take effect.
 const noLimits = `<attempt><mb>100000</mb><kb-per-s>10000000</kb-per-s></attempt>`
 
-// platformSettings are those of the platform, of which stores use the state
-// service's. The address of that is filled in.
+// platformSettings is a template of the platform's settings, of which stores use those
+// of the state service. Its parameter is the address of the state service.
 const platformSettings = `host_name = "bench"
 location = "a"
 listen = "127.0.0.1:1"
@@ -53,20 +53,21 @@
 list_lag_s = 1.0
 `
 
-// fleet is an emulated key-value store and some stores of outputs as processes.
-type fleet struct {
-	bin          string // the program of the stores
-	dir          string // holds each store's data directory and log
+// storeCluster is an emulated key-value store and several stores of outputs, which run as
+// separate processes.
+type storeCluster struct {
+	bin          string // executable of the stores
+	dir          string // contains each store's data directory and log
 	platformFile string
 	outputsFile  string
 	stateServer  *http.Server
 	stores       []*storeProcess
 }
 
-// newFleet starts so many stores in two zones. The settings are the content of the
-// element outputs.
-func newFleet(bin, dir string, stores int, settings string) (*fleet, error) {
-	f := &fleet{
+// newStoreCluster starts a number of stores in two zones. settings is the content of the
+// element outputs in the stores' settings file.
+func newStoreCluster(bin, dir string, stores int, settings string) (*storeCluster, error) {
+	f := &storeCluster{
 		bin:          bin,
 		dir:          dir,
 		platformFile: filepath.Join(dir, "platform.toml"),
@@ -80,7 +81,7 @@
 	return f, nil
 }
 
-func (f *fleet) start(stores int, settings string) error {
+func (f *storeCluster) start(stores int, settings string) error {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return err
@@ -98,7 +99,7 @@
 			return err
 		}
 		zone := string(rune('a' + i%2))
-		f.stores = append(f.stores, &storeProcess{fleet: f, name: fmt.Sprint("s", i), zone: zone, addr: addr})
+		f.stores = append(f.stores, &storeProcess{cluster: f, name: fmt.Sprint("s", i), zone: zone, addr: addr})
 	}
 	for _, s := range f.stores {
 		if err := s.start(); err != nil {
@@ -111,14 +112,14 @@
 	return nil
 }
 
-func (f *fleet) stop() {
+func (f *storeCluster) stop() {
 	for _, s := range f.stores {
 		s.kill()
 	}
 	f.stateServer.Close()
 }
 
-func (f *fleet) addresses() []string {
+func (f *storeCluster) addresses() []string {
 	var addrs []string
 	for _, s := range f.stores {
 		addrs = append(addrs, s.addr)
@@ -135,30 +136,30 @@
 	return ln.Addr().String(), nil
 }
 
-// storeProcess is a store of a fleet.
+// storeProcess is one store of a cluster.
 type storeProcess struct {
-	fleet *fleet
-	name  string
-	zone  string
-	addr  string
-	cmd   *exec.Cmd // nil: it does not run
+	cluster *storeCluster
+	name    string
+	zone    string
+	addr    string
+	cmd     *exec.Cmd // nil if the store does not run
 }
 
-func (s *storeProcess) dataDir() string { return filepath.Join(s.fleet.dir, s.name) }
+func (s *storeProcess) dataDir() string { return filepath.Join(s.cluster.dir, s.name) }
 
-// newClient returns a client of this store alone.
+// newClient returns a client of this store only.
 func (s *storeProcess) newClient() (*client.Client, error) {
 	return client.New([]string{s.addr}, "", "")
 }
 
-// start runs the store and returns when it listens.
+// start starts the store and waits until it listens.
 func (s *storeProcess) start() error {
 	log, err := os.OpenFile(s.dataDir()+".log", os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
 		return err
 	}
 	defer log.Close()
-	cmd := exec.Command(s.fleet.bin, "serve", "--config", s.fleet.platformFile, "--operator", s.fleet.outputsFile,
+	cmd := exec.Command(s.cluster.bin, "serve", "--config", s.cluster.platformFile, "--operator", s.cluster.outputsFile,
 		"--name", s.name, "--zone", s.zone, "--listen", s.addr, "--data", s.dataDir())
 	cmd.Stderr = log
 	cmd.Env = append(os.Environ(), "LOG_LEVEL=error")
@@ -174,7 +175,7 @@
 			return nil
 		}
 	}
-	return fmt.Errorf("%s does not listen; its log is in %s", s.name, s.fleet.dir)
+	return fmt.Errorf("store %s does not listen; its log is in %s", s.name, s.cluster.dir)
 }
 
 func (s *storeProcess) kill() {
@@ -185,7 +186,7 @@
 	}
 }
 
-// residentMB returns the store's resident memory in MB: now, and the most so far.
+// residentMB returns the store's current and peak resident memory in MB.
 func (s *storeProcess) residentMB() (now, peak float64) {
 	raw, _ := os.ReadFile(fmt.Sprintf("/proc/%d/status", s.cmd.Process.Pid))
 	for _, line := range strings.Split(string(raw), "\n") {
@@ -204,7 +205,7 @@
 	return now, peak
 }
 
-// diskBytes is what the files of the store's data directory take.
+// diskBytes returns the total size of the files in the store's data directory.
 func (s *storeProcess) diskBytes() int64 {
 	var total int64
 	filepath.Walk(s.dataDir(), func(_ string, info os.FileInfo, err error) error {
--- a/internal/outputs/disk/blocks.go
+++ b/internal/outputs/disk/blocks.go
@@ -91,7 +91,7 @@
 		return false
 	}
 	// The records of a damaged block have been removed from the spans.
-	return q.spans.RunEnd(first) >= end
+	return q.spans.SpanEnd(first) >= end
 }
 
 // isPast reports whether a block and all blocks after it are beyond the upper bound.
@@ -196,7 +196,7 @@
 		return
 	}
 	end := ref.first + uint64(ref.place.Count)
-	if a.spans().RunEnd(ref.first) < end {
+	if a.spans().SpanEnd(ref.first) < end {
 		return
 	}
 	slog.Error("block is damaged", "segment", ref.place.Segment, "offset", ref.place.Offset, "first", ref.first, "records", ref.place.Count)
