--- a/internal/coordination/cloud.go
+++ b/internal/coordination/cloud.go
@@ -139,6 +139,6 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, id := range ids {
-		leadership.forget(id)
+		leadership.dropMachine(id)
 	}
 }
--- a/internal/coordination/drain.go
+++ b/internal/coordination/drain.go
@@ -16,12 +16,12 @@
 // these or to unhealthy machines to the queue.
 func (p *planner) drain() {
 	for _, m := range p.machines {
-		leaving := !m.reclaimAt.IsZero() || m.cordoned
-		if m.health != failuredetector.Healthy || leaving {
+		mustDrain := !m.reclaimAt.IsZero() || m.cordoned
+		if m.health != failuredetector.Healthy || mustDrain {
 			// Attempts that have not been sent can be placed elsewhere at once.
 			p.shard.dropUnsentAttempts(m)
 		}
-		if !leaving {
+		if !mustDrain {
 			continue
 		}
 		for _, attempt := range m.attempts {
--- a/internal/coordination/golden_test.go
+++ b/internal/coordination/golden_test.go
@@ -80,7 +80,7 @@
 			t.Fatal(err)
 		}
 		for _, shard := range status.Shards {
-			if shard.Startable != nil || shard.Room != nil || shard.quotaClaim("red").Startable != nil {
+			if shard.Startable != nil || shard.SpareCapacity != nil || shard.quotaClaim("red").Startable != nil {
 				t.Errorf("%s: decoded as %+v", name, shard)
 			}
 		}
--- a/internal/coordination/job.go
+++ b/internal/coordination/job.go
@@ -84,7 +84,7 @@
 	// Waiting while another shard has free capacity, see migration_to_room.go.
 	unplacedSince time.Time  // since when every plan has left one of its tasks unplaced; zero: the last plan did not
 	waitReason    waitReason // as of the last plan
-	leavingUntil  time.Time  // until when its tasks are held back so that it can leave the shard; zero: they are not
+	drainUntil  time.Time  // until when its tasks are held back so that it can leave the shard; zero: they are not
 
 	// Run times of its tasks, to detect slow machines.
 	measuredTasks   int     // tasks that completed under this holder
--- a/internal/coordination/leaving_own_room_test.go
+++ b/internal/coordination/leaving_own_room_test.go
@@ -60,7 +60,7 @@
 // the other shard.
 func TestEqualCapacityInOwnShardCancelsDraining(t *testing.T) {
 	for name, adjust := range map[string]func(w *waitingNode){
-		"capacity for one task elsewhere": func(w *waitingNode) { w.status.Shards[0].Room[0].Free = placement.Resources{3, 0, 2} },
+		"capacity for one task elsewhere": func(w *waitingNode) { w.status.Shards[0].SpareCapacity[0].Free = placement.Resources{3, 0, 2} },
 		"one task pending":                func(w *waitingNode) { w.job.markDone(2); w.job.markDone(3) },
 	} {
 		w, m := newDrainingJob()
@@ -79,7 +79,7 @@
 // task's own start order might still arrive, while another shard had spare capacity.
 func TestUnusableCapacityDoesNotCancelDraining(t *testing.T) {
 	w, m := newDrainingJob()
-	w.job.leavingUntil = w.now.Add(-w.heartbeatIntervals(1))
+	w.job.drainUntil = w.now.Add(-w.heartbeatIntervals(1))
 	w.job.cancelDraining(stayDrainTimeout, w.now.Add(-w.heartbeatIntervals(drainWaitHeartbeats)))
 	w.shard.spareCapacity = []spareCapacity{{Kind: m.kind(), Free: placement.Resources{3, 0, 8}}}
 	w.updateDrainingJobs(w.shard, w.findMigrationTargets(w.shard, w.now), w.now)
--- a/internal/coordination/machine_inventory.go
+++ b/internal/coordination/machine_inventory.go
@@ -68,9 +68,9 @@
 	}
 }
 
-// forget removes a machine that is released or no longer exists. Its ID is
+// dropMachine removes a machine that is released or no longer exists. Its ID is
 // remembered, since late heartbeats and lists may still contain it.
-func (l *leadership) forget(id string) {
+func (l *leadership) dropMachine(id string) {
 	l.released[id] = true
 	delete(l.machines, id)
 	l.removeBooting(func(booting *bootingMachine) bool { return booting.id == id })
@@ -213,7 +213,7 @@
 		removed := list.showsRemoved(machine)
 		_, granted := shardOfMachine[id]
 		if removed && !granted {
-			l.forget(id)
+			l.dropMachine(id)
 		} else if granted && (removed || machine.status == machineFailed) {
 			l.failed[id] = true
 		}
--- a/internal/coordination/migration_to_room.go
+++ b/internal/coordination/migration_to_room.go
@@ -96,7 +96,7 @@
 		}
 	}
 	for status := range n.recentRemoteShards(now) {
-		add(status.Index, status.Room)
+		add(status.Index, status.SpareCapacity)
 	}
 	return targets
 }
@@ -124,11 +124,11 @@
 		targetShard, reason := targets.selectTarget(j)
 		switch {
 		case !j.isDraining() && reason == noStayReason:
-			j.leavingUntil = now.Add(maxDrainTime)
+			j.drainUntil = now.Add(maxDrainTime)
 			slog.Info("job leaving for room in another shard", "job", j.id, "from_shard", s.index, "to_shard", targetShard, "running", len(j.attempts))
 		case j.isDraining() && reason != noStayReason:
 			j.cancelDraining(reason, now)
-		case j.isDraining() && now.After(j.leavingUntil):
+		case j.isDraining() && now.After(j.drainUntil):
 			j.cancelDraining(stayDrainTimeout, now)
 		}
 	}
@@ -149,12 +149,12 @@
 // cancelDraining ends the draining of the job, whose waiting time starts anew.
 func (j *job) cancelDraining(reason stayReason, now time.Time) {
 	slog.Debug("job stays", "job", j.id, "reason", reason, "running", len(j.attempts))
-	j.leavingUntil, j.unplacedSince = time.Time{}, now
+	j.drainUntil, j.unplacedSince = time.Time{}, now
 }
 
 // isDraining reports whether no more tasks of the job are placed in this shard, so
 // that it can migrate once its attempts have ended.
-func (j *job) isDraining() bool { return !j.leavingUntil.IsZero() }
+func (j *job) isDraining() bool { return !j.drainUntil.IsZero() }
 
 // canStartDraining reports whether a job with running tasks has waited for long
 // enough to be drained, and its attempts are expected to end within the draining
--- a/internal/coordination/migration_to_room_test.go
+++ b/internal/coordination/migration_to_room_test.go
@@ -40,7 +40,7 @@
 	j.spec = protocol.Job{ID: j.id, Team: "red", Type: "array", Tasks: 2, Cores: 3, MemoryGB: 2, EstimatedSeconds: 9, Spot: true}
 	s.jobs, s.queue = map[string]*job{}, []*job{j}
 	s.addJob(j)
-	status := &Status{From: "n1", receivedAt: now, Shards: []ShardStatus{{Index: 1, FencingToken: n.records.Shards[1].Value.FencingToken, Room: []spareCapacity{spare}}}}
+	status := &Status{From: "n1", receivedAt: now, Shards: []ShardStatus{{Index: 1, FencingToken: n.records.Shards[1].Value.FencingToken, SpareCapacity: []spareCapacity{spare}}}}
 	n.peerStatus["n1"] = status
 	return &waitingNode{n, s, j, status, now}
 }
@@ -74,7 +74,7 @@
 		{"the machine has no card", func(w *waitingNode) { w.job.taskResources[placement.GPUs] = 1 }, false},
 		{"the machine has a card", func(w *waitingNode) {
 			w.job.taskResources[placement.GPUs] = 1
-			w.status.Shards[0].Room[0].Free[placement.GPUs] = 2
+			w.status.Shards[0].SpareCapacity[0].Free[placement.GPUs] = 2
 		}, true},
 		{"its shard has capacity and lacks a share", func(w *waitingNode) { w.shard.spareCapacity = []spareCapacity{spotCapacity()} }, false},
 		{"its team is at its limit", func(w *waitingNode) { w.shard.used["red"] = storage.Resources{Cores: 12} }, false},
@@ -82,7 +82,7 @@
 		{"it is unconfirmed", func(w *waitingNode) { w.job.unconfirmed = true }, false},
 		{"it has just begun to wait", func(w *waitingNode) { w.job.unplacedSince = w.now.Add(-time.Second) }, false},
 		{"another job has just migrated", func(w *waitingNode) { w.shard.migrationCheckedAt = w.now.Add(-time.Second) }, false},
-		{"an earlier version reports no spare capacity", func(w *waitingNode) { w.status.Shards[0].Room = nil }, false},
+		{"an earlier version reports no spare capacity", func(w *waitingNode) { w.status.Shards[0].SpareCapacity = nil }, false},
 		{"the status is old", func(w *waitingNode) { w.status.receivedAt = w.now.Add(-statusValidity) }, false},
 		{"the status is a former holder's", func(w *waitingNode) { w.status.Shards[0].FencingToken-- }, false},
 		{"the other holder is overloaded", func(w *waitingNode) { w.status.Utilization = 1 }, false},
@@ -145,7 +145,7 @@
 		{"a service's tasks don't end", func(w *waitingNode) { w.job.spec.Type = protocol.JobTypeService }, false},
 		{"it has not waited long enough", func(w *waitingNode) { w.job.unplacedSince = w.now.Add(-9 * time.Second) }, false},
 		{"it has no pending tasks", func(w *waitingNode) { w.job.unfinishedAttempts = 2 }, false},
-		{"no shard has spare capacity", func(w *waitingNode) { w.status.Shards[0].Room = nil }, false},
+		{"no shard has spare capacity", func(w *waitingNode) { w.status.Shards[0].SpareCapacity = nil }, false},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -173,7 +173,7 @@
 		w := newWaitingNode(spotCapacity())
 		w.job.attempts[0], w.job.unfinishedAttempts = &taskAttempt{job: w.job, startedAt: w.now}, 1
 		w.updateDrainingJobs(w.shard, w.findMigrationTargets(w.shard, w.now), w.now)
-		w.status.Shards[0].Room = nil
+		w.status.Shards[0].SpareCapacity = nil
 		w.updateDrainingJobs(w.shard, w.findMigrationTargets(w.shard, w.now), w.now)
 		if w.job.isDraining() || !w.job.isStartable() {
 			t.Error("job is still draining without a target")
@@ -224,7 +224,7 @@
 	if len(j.attempts) != 2 {
 		t.Fatalf("%d tasks placed", len(j.attempts))
 	}
-	j.leavingUntil = now.Add(time.Minute)
+	j.drainUntil = now.Add(time.Minute)
 	check("draining")
 	j.migrating = true
 	if s.plan(input, true, now); len(s.scaleOut) != 0 {
--- a/internal/coordination/share_stall_test.go
+++ b/internal/coordination/share_stall_test.go
@@ -98,7 +98,7 @@
 	n.records.SetMachineTypes(simMachineTypes)
 	amounts := map[string]storage.Resources{"red": {Cores: 3}, "unknown": {Cores: 1}}
 	kind := machineKind{"big", "a", true}
-	status := Status{From: "n1", Shards: []ShardStatus{{Index: 1, Startable: amounts, Room: []spareCapacity{
+	status := Status{From: "n1", Shards: []ShardStatus{{Index: 1, Startable: amounts, SpareCapacity: []spareCapacity{
 		{kind, placement.Resources{16, 0, 32}},
 		{machineKind{"huge", "a", true}, placement.Resources{1, 0, 1}},
 		{kind, placement.Resources{-1, 0, 1}},
@@ -108,8 +108,8 @@
 	}}}}
 	n.ReceiveStatus(status)
 	kept := n.peerStatus["n1"].Shards[0]
-	if len(kept.Room) != 1 || len(kept.Startable) != 1 || kept.Startable["red"].Cores != 3 {
-		t.Errorf("kept %v and %v", kept.Room, kept.Startable)
+	if len(kept.SpareCapacity) != 1 || len(kept.Startable) != 1 || kept.Startable["red"].Cores != 3 {
+		t.Errorf("kept %v and %v", kept.SpareCapacity, kept.Startable)
 	}
 	if len(amounts) != 2 {
 		t.Error("the sender's status was modified")
--- a/internal/coordination/status_check.go
+++ b/internal/coordination/status_check.go
@@ -40,8 +40,8 @@
 		maps.DeleteFunc(shardStatus.Startable, func(team string, amount storage.Resources) bool {
 			return n.logIfInvalid(n.checkStartable(status.From, shardStatus.Index, team, amount))
 		})
-		shardStatus.Room = slices.DeleteFunc(slices.Clone(shardStatus.Room), func(room spareCapacity) bool {
-			return n.logIfInvalid(n.checkRoom(status.From, shardStatus.Index, room))
+		shardStatus.SpareCapacity = slices.DeleteFunc(slices.Clone(shardStatus.SpareCapacity), func(room spareCapacity) bool {
+			return n.logIfInvalid(n.checkSpareCapacity(status.From, shardStatus.Index, room))
 		})
 	}
 }
@@ -77,8 +77,8 @@
 	return amount >= 0 && (limit <= 0 || amount <= limit+amountTolerance)
 }
 
-// checkRoom returns an error if a shard's free room is invalid, or nil.
-func (n *Node) checkRoom(from string, shard int, room spareCapacity) *statusValueError {
+// checkSpareCapacity returns an error if a shard's free room is invalid, or nil.
+func (n *Node) checkSpareCapacity(from string, shard int, room spareCapacity) *statusValueError {
 	size, known := n.records.MachineSize(room.Kind.MachineType)
 	if !known {
 		return &statusValueError{from, shard, "Room", room.Kind.MachineType, reasonUnknown}
--- a/internal/coordination/status_exchange.go
+++ b/internal/coordination/status_exchange.go
@@ -41,7 +41,7 @@
 	// that is less than Desired. Room is free capacity that none of the shard's own tasks
 	// takes. Both are sent once every controller runs a version that supports them.
 	Startable map[string]storage.Resources `cbor:"Startable,omitempty"`
-	Room      []spareCapacity              `cbor:"Room,omitempty"`
+	SpareCapacity      []spareCapacity              `cbor:"Room,omitempty"`
 }
 
 // StatusReply is the reply to a Status. Only the leader fills in more than the sender and
@@ -143,7 +143,7 @@
 	}
 	if n.records.ShardCapacityEnabled() {
 		status.Startable = maps.Clone(s.startable)
-		status.Room = slices.Clone(s.spareCapacity)
+		status.SpareCapacity = slices.Clone(s.spareCapacity)
 	}
 	for id, j := range s.jobs {
 		if running := len(j.attempts); running > 0 {
--- a/internal/storage/leader_budget_test.go
+++ b/internal/storage/leader_budget_test.go
@@ -26,7 +26,7 @@
 // holder wait, because users' requests use the write budget in advance.
 func TestLeaderWritesBesideUsers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		client := NewClientWithTransport(accepting{}, 1000, leaderStoreRPS, 3)
+		client := NewClientWithTransport(emptyObjectTransport{}, 1000, leaderStoreRPS, 3)
 		client.SetLeading(true, leaderStoreRPS, 3)
 		txn := protocol.Txn{Writes: []protocol.Write{{Put: "k"}}}
 		ctx, stop := context.WithCancel(t.Context())
--- a/internal/storage/rate_budget_test.go
+++ b/internal/storage/rate_budget_test.go
@@ -49,10 +49,10 @@
 	})
 }
 
-// accepting answers every request with an empty object.
-type accepting struct{}
+// emptyObjectTransport answers every request with an empty object.
+type emptyObjectTransport struct{}
 
-func (accepting) RoundTrip(*http.Request) (*http.Response, error) {
+func (emptyObjectTransport) RoundTrip(*http.Request) (*http.Response, error) {
 	return &http.Response{StatusCode: http.StatusOK, Body: io.NopCloser(bytes.NewReader([]byte("{}")))}, nil
 }
 
@@ -75,7 +75,7 @@
 func TestRefusedWritesCostNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const seconds = 60
-		c := NewClientWithTransport(accepting{}, 1000, 60, 7) // 6 writes a second, 6 at once
+		c := NewClientWithTransport(emptyObjectTransport{}, 1000, 60, 7) // 6 writes a second, 6 at once
 		var written, refused atomic.Int64
 		var wg sync.WaitGroup
 		repeatUntil(&wg, time.Now().Add(seconds*time.Second), 40, 250*time.Millisecond, func() {
@@ -102,7 +102,7 @@
 func TestReadsLeaveRoomForWrites(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const seconds = 30
-		c := NewClientWithTransport(accepting{}, 100, 60, 7) // 10 requests and 6 writes a second
+		c := NewClientWithTransport(emptyObjectTransport{}, 100, 60, 7) // 10 requests and 6 writes a second
 		var read, refused, written atomic.Int64
 		var wg sync.WaitGroup
 		deadline := time.Now().Add(seconds * time.Second)
--- a/internal/storage/read_index_test.go
+++ b/internal/storage/read_index_test.go
@@ -17,16 +17,16 @@
 	"reedtrack/internal/protocol"
 )
 
-// slowPath serves a store with random delays of requests and answers, some of them long, so
+// delayingTransport serves a store with random delays of requests and answers, some of them long, so
 // that answers arrive out of order.
-type slowPath struct {
+type delayingTransport struct {
 	store *emulator.KVStore
 	mu    sync.Mutex
 	rnd   *rand.Rand
 	polls atomic.Int64 // requests that did not wait for a change
 }
 
-func (p *slowPath) delay() time.Duration {
+func (p *delayingTransport) delay() time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.rnd.IntN(20) == 0 {
@@ -35,7 +35,7 @@
 	return time.Duration(p.rnd.IntN(30)) * time.Millisecond
 }
 
-func (p *slowPath) RoundTrip(r *http.Request) (*http.Response, error) {
+func (p *delayingTransport) RoundTrip(r *http.Request) (*http.Response, error) {
 	if r.URL.Query().Get("wait_ms") == "0" {
 		p.polls.Add(1)
 	}
@@ -51,14 +51,14 @@
 
 // counterReplica is a replica of a store in which one number grows.
 type counterReplica struct {
-	path  *slowPath
-	index *ReadIndex
-	value atomic.Int64
+	transport *delayingTransport
+	index     *ReadIndex
+	value     atomic.Int64
 }
 
 func newCounterReplica(store *emulator.KVStore, seed uint64) *counterReplica {
-	c := &counterReplica{path: &slowPath{store: store, rnd: rand.New(rand.NewPCG(seed, 1))}}
-	replica := &Replica{Client: NewClientWithTransport(c.path, 300, 100, 1), WatchTimeout: time.Second, WatchPause: 50 * time.Millisecond, Synced: func(time.Time) {},
+	c := &counterReplica{transport: &delayingTransport{store: store, rnd: rand.New(rand.NewPCG(seed, 1))}}
+	replica := &Replica{Client: NewClientWithTransport(c.transport, 300, 100, 1), WatchTimeout: time.Second, WatchPause: 50 * time.Millisecond, Synced: func(time.Time) {},
 		Apply: func(batch []protocol.Change) {
 			for _, change := range batch {
 				var value int64
@@ -78,55 +78,55 @@
 	}
 }
 
-// playReads runs readers of two replicas while the store changes and has an outage. It
+// simulateReads runs readers of two replicas while the store changes and has an outage. It
 // counts the answers, and those older than an answer given before the read began.
-func playReads(t *testing.T, seed uint64, joinStale bool) (answers, older int) {
+func simulateReads(t *testing.T, seed uint64, joinStale bool) (answers, older int) {
 	synctest.Test(t, func(t *testing.T) {
 		store := emulator.NewKVStore()
 		ctx, stop := context.WithCancel(t.Context())
-		var all sync.WaitGroup
+		var goroutines sync.WaitGroup
 		replicas := []*counterReplica{newCounterReplica(store, seed), newCounterReplica(store, seed+1)}
 		commit(t, store, protocol.Write{Put: "r/counter", Value: 0})
 		for _, c := range replicas {
 			c.index.joinStale = joinStale
-			all.Go(func() { c.index.replica.Run(ctx) })
-			all.Go(func() { c.index.Run(ctx) })
+			goroutines.Go(func() { c.index.replica.Run(ctx) })
+			goroutines.Go(func() { c.index.Run(ctx) })
 		}
 		var mu sync.Mutex
-		told := int64(0) // the highest that anybody was told
-		tell := func(value int64) {
+		highest := int64(0) // highest value written or returned so far
+		recordValue := func(value int64) {
 			mu.Lock()
 			defer mu.Unlock()
-			told = max(told, value)
+			highest = max(highest, value)
 		}
-		before := func() int64 {
+		currentHighest := func() int64 {
 			mu.Lock()
 			defer mu.Unlock()
-			return told
+			return highest
 		}
 		for reader := range 20 {
-			all.Go(func() {
+			goroutines.Go(func() {
 				rnd := rand.New(rand.NewPCG(seed, uint64(reader)))
 				for ctx.Err() == nil {
 					time.Sleep(time.Duration(1+rnd.IntN(20)) * time.Millisecond)
-					c, was := replicas[rnd.IntN(2)], before()
+					c, minimum := replicas[rnd.IntN(2)], currentHighest()
 					if c.index.Confirm(ctx) != nil {
 						continue
 					}
 					value := c.value.Load()
 					mu.Lock()
-					if answers++; value < was {
+					if answers++; value < minimum {
 						older++
 					}
 					mu.Unlock()
-					tell(value)
+					recordValue(value)
 				}
 			})
 		}
 		for i := range int64(400) {
 			time.Sleep(10 * time.Millisecond)
 			commit(t, store, protocol.Write{Put: "r/counter", Value: i + 1})
-			tell(i + 1)
+			recordValue(i + 1)
 			switch i {
 			case 200:
 				store.SetOutage(true)
@@ -135,7 +135,7 @@
 			}
 		}
 		stop()
-		all.Wait()
+		goroutines.Wait()
 	})
 	return answers, older
 }
@@ -144,14 +144,14 @@
 // a request that was in progress when the read began violates this.
 func TestReadIndexIsNeverOlder(t *testing.T) {
 	for seed := range uint64(10) {
-		answers, older := playReads(t, 2*seed, false)
+		answers, older := simulateReads(t, 2*seed, false)
 		if answers < 300 || older > 0 {
 			t.Errorf("seed %d: %d answers, %d older than one before", seed, answers, older)
 		}
 	}
 	found := 0
 	for seed := range uint64(5) {
-		_, older := playReads(t, 2*seed, true)
+		_, older := simulateReads(t, 2*seed, true)
 		found += older
 	}
 	if found == 0 {
@@ -168,11 +168,11 @@
 				commit(t, store, protocol.Write{Put: "r/counter", Value: 1})
 				c := newCounterReplica(store, 1)
 				ctx, stop := context.WithCancel(t.Context())
-				var all sync.WaitGroup
-				all.Go(func() { c.index.replica.Run(ctx) })
-				all.Go(func() { c.index.Run(ctx) })
+				var goroutines sync.WaitGroup
+				goroutines.Go(func() { c.index.replica.Run(ctx) })
+				goroutines.Go(func() { c.index.Run(ctx) })
 				time.Sleep(2 * time.Second)
-				before := c.path.polls.Load()
+				before := c.transport.polls.Load()
 				var failed atomic.Int64
 				var users sync.WaitGroup
 				for i := range callers {
@@ -185,11 +185,11 @@
 				}
 				users.Wait()
 				limit := int64(2*time.Second/c.index.interval) + 1
-				if used := c.path.polls.Load() - before; used > limit || failed.Load() > 0 {
+				if used := c.transport.polls.Load() - before; used > limit || failed.Load() > 0 {
 					t.Errorf("%d requests, at most %d wanted; %d callers refused", used, limit, failed.Load())
 				}
 				stop()
-				all.Wait()
+				goroutines.Wait()
 			})
 		})
 	}
--- a/internal/storage/replica_test.go
+++ b/internal/storage/replica_test.go
@@ -21,15 +21,15 @@
 	change func()
 }
 
-func (b *changingStore) RoundTrip(r *http.Request) (*http.Response, error) {
+func (s *changingStore) RoundTrip(r *http.Request) (*http.Response, error) {
 	var body []byte
 	if r.Body != nil {
 		body, _ = io.ReadAll(r.Body)
 	}
-	code, answer := b.store.Handle(r.Context(), r.Method, r.URL.Path, r.URL.Query(), body)
-	if r.URL.Path == "/keys" && b.change != nil {
-		b.change()
-		b.change = nil
+	code, answer := s.store.Handle(r.Context(), r.Method, r.URL.Path, r.URL.Query(), body)
+	if r.URL.Path == "/keys" && s.change != nil {
+		s.change()
+		s.change = nil
 	}
 	raw, _ := json.Marshal(answer)
 	return response(r, code, raw), nil
@@ -38,17 +38,17 @@
 // refusingStore serves a store, and refuses every other page of a list.
 type refusingStore struct {
 	changingStore
-	asked, served int // pages
+	requested, served int // pages
 }
 
-func (b *refusingStore) RoundTrip(r *http.Request) (*http.Response, error) {
+func (s *refusingStore) RoundTrip(r *http.Request) (*http.Response, error) {
 	if r.URL.Path == "/keys" {
-		if b.asked++; b.asked%2 == 0 {
+		if s.requested++; s.requested%2 == 0 {
 			return response(r, http.StatusTooManyRequests, nil), nil
 		}
-		b.served++
+		s.served++
 	}
-	return b.changingStore.RoundTrip(r)
+	return s.changingStore.RoundTrip(r)
 }
 
 func response(r *http.Request, code int, body []byte) *http.Response {
@@ -69,13 +69,13 @@
 	r.Run(ctx)
 }
 
-// copyOf is a copy of the records built from a replica's changes.
-type copyOf struct {
+// recordCopy is a copy of the records built from a replica's changes.
+type recordCopy struct {
 	records map[string]string
 	batches int
 }
 
-func (c *copyOf) apply(t *testing.T, batch []protocol.Change) {
+func (c *recordCopy) apply(t *testing.T, batch []protocol.Change) {
 	t.Helper()
 	c.batches++
 	var revision uint64
@@ -104,7 +104,7 @@
 	served := &changingStore{store: store, change: func() {
 		commit(t, store, protocol.Write{Put: first, Value: "new"}, protocol.Write{Put: last, Value: "new"}, protocol.Write{Delete: deleted})
 	}}
-	copied := copyOf{records: map[string]string{}}
+	copied := recordCopy{records: map[string]string{}}
 	runUntilSynced(t, served, func(batch []protocol.Change) {
 		copied.apply(t, batch)
 		if copied.records[first] != copied.records[last] {
