--- a/internal/coordination/migration_to_room.go
+++ b/internal/coordination/migration_to_room.go
@@ -214,8 +214,8 @@
 	if j.waitReason == waitsForMachine {
 		return false // the last plan found no machine on which it may place one of the tasks
 	}
-	_, hasRoom := j.mostFreeCores(r.source.spareCapacity)
-	return hasRoom
+	_, fits := j.mostFreeCores(r.source.spareCapacity)
+	return fits
 }
 
 // countPlaceableTasks counts the pending tasks of a job that fit on the shard's
--- a/internal/failuredetector/isolation_store_test.go
+++ b/internal/failuredetector/isolation_store_test.go
@@ -57,11 +57,11 @@
 func (m storeOutageModel) violation() string {
 	steppedDown := m.steppedDownAt()
 	// How long the workers must be silent while the store answers.
-	patience := testTiming.SuspectAfter() + 2*modelTick
-	deadline := m.workers.from + patience
+	minSilence := testTiming.SuspectAfter() + 2*modelTick
+	deadline := m.workers.from + minSilence
 	if m.store.from < deadline && m.store.until > m.workers.from-modelStoreTimeout {
 		// In the worst case the silence is reset when the store answers again.
-		deadline = max(m.workers.from, m.store.until+modelRenewInterval) + patience
+		deadline = max(m.workers.from, m.store.until+modelRenewInterval) + minSilence
 	}
 	switch {
 	case deadline < m.workers.until && steppedDown > deadline:
