--- a/internal/clusterstate/records_test.go
+++ b/internal/clusterstate/records_test.go
@@ -12,14 +12,13 @@
 	"reedtrack/internal/storage"
 )
 
-// newTestRecords returns an empty copy in which every job has a deadline of a
-// minute.
+// newTestRecords returns empty records with a deadline of one minute for every job.
 func newTestRecords() *Records {
 	return New(func(*storage.Job) float64 { return 60 })
 }
 
-// put returns the change that writes a value, which is encoded unless it is raw
-// already.
+// put returns the change that writes a value: a string as it is, anything else encoded as
+// JSON.
 func put(t *testing.T, key string, value any, revision uint64) protocol.Change {
 	t.Helper()
 	raw, ok := value.(string)
@@ -46,8 +45,8 @@
 	return leases
 }
 
-// A job's changes are reported with what was known before and with its completed
-// tasks, in the order of the transactions.
+// Changes of a job are reported with its previous record and its completed tasks, in the
+// order of the transactions.
 func TestJobChanges(t *testing.T) {
 	r := newTestRecords()
 	changes := r.Apply([]protocol.Change{put(t, storage.JobKey("wk-1"), job(0, "0-1"), 5)})
@@ -72,8 +71,8 @@
 	}
 }
 
-// A job's record that can't be decoded leaves the copy as it was, until there is
-// one that can.
+// A job record that can't be decoded leaves the previous one in place until a readable one
+// is applied.
 func TestUnreadableJob(t *testing.T) {
 	r := newTestRecords()
 	r.Apply([]protocol.Change{put(t, storage.JobKey("wk-1"), job(0, "0-1"), 5)})
@@ -88,12 +87,12 @@
 	}
 	r.Apply([]protocol.Change{put(t, storage.JobKey("wk-1"), job(0, "0-1"), 9)})
 	if r.Jobs["wk-1"].Revision != 9 || r.UnreadableJobs["wk-1"] {
-		t.Error("still unreadable")
+		t.Error("a readable record does not replace the unreadable one")
 	}
 }
 
-// Completed tasks are counted over the job's own record and its chunks, and what
-// this controller wrote counts until a newer chunk shows.
+// Completed tasks are counted in the job's own record and its chunks. A chunk that this
+// controller wrote counts until a newer one is applied.
 func TestCompletionChunks(t *testing.T) {
 	r := newTestRecords()
 	done, err := storage.ParseIndexSet("0-2", 3)
@@ -113,12 +112,12 @@
 	}
 	r.Apply([]protocol.Change{{Delete: storage.CompletionChunkKey("wk-1", 0), Revision: 7}})
 	if len(r.CompletionChunks) != 0 || r.Jobs["wk-1"].DoneCount != 0 {
-		t.Error("chunks that are gone count")
+		t.Error("deleted chunks are still counted")
 	}
 }
 
-// A grant is reported once a transaction, with whether its head has changed, and
-// each machine belongs to one shard.
+// A changed grant is reported once per transaction, with whether its head has changed.
+// Each machine belongs to one shard.
 func TestGrants(t *testing.T) {
 	r := newTestRecords()
 	head := storage.Grant{Generation: 9, Quotas: map[string]storage.Resources{"red": {Cores: 4}}}
@@ -151,15 +150,15 @@
 	before := r.Grants[0]
 	changes = r.Apply([]protocol.Change{put(t, storage.GrantChunkKey(0, 0), `{"of":9,"blocks":{"names":["0x"]}}`, 7)})
 	if _, ok := changes[0].(UnreadableRecord); len(changes) != 1 || !ok || !reflect.DeepEqual(before, r.Grants[0]) || r.GrantChunks[0][0].Bytes >= 0 {
-		t.Errorf("a chunk that can't be decoded: %+v", changes)
+		t.Errorf("chunk that can't be decoded: %+v", changes)
 	}
 	if changes := r.Apply([]protocol.Change{{Delete: storage.GrantKey(1), Revision: 8}}); len(changes) != 0 || len(r.Grants) != 1 || len(r.ShardOfMachine) != 1 {
-		t.Errorf("a grant that is gone: %+v %v", changes, r.ShardOfMachine)
+		t.Errorf("deleted grant: %+v %v", changes, r.ShardOfMachine)
 	}
 }
 
-// Each gate opens with its schema version; a version that isn't known, or can't be
-// decoded, is not supported.
+// Each feature is enabled from its schema version on. A version that is newer than this
+// controller's, or can't be decoded, is not supported.
 func TestSchemaGates(t *testing.T) {
 	for _, test := range []struct {
 		schema                    string
@@ -173,7 +172,7 @@
 	} {
 		r := newTestRecords()
 		if r.SplitGrantsEnabled() || r.HeartbeatProxiesEnabled() || !r.SupportsSchema() {
-			t.Error("without a schema version")
+			t.Error("features are enabled, or the schema is unsupported, without a schema version")
 		}
 		changes := r.Apply([]protocol.Change{put(t, storage.SchemaVersionKey, test.schema, 5)})
 		if r.SplitGrantsEnabled() != test.chunked || r.CompletionChunksEnabled() != test.chunked || r.DependenciesEnabled() != test.chunked ||
@@ -190,7 +189,7 @@
 	}
 }
 
-// Only markers of this version count as upgraded.
+// Only controllers whose marker has the latest schema version count as upgraded.
 func TestCountUpgraded(t *testing.T) {
 	r := newTestRecords()
 	for i, version := range []int{storage.SchemaLatest, storage.SchemaLatest - 1, storage.SchemaLatest} {
@@ -204,8 +203,8 @@
 	}
 }
 
-// A catalog in chunks counts once all chunks are of one revision, and stays when
-// its record is gone.
+// A catalog in chunks is used once all its chunks have one revision, and is kept when its
+// record is deleted.
 func TestCatalog(t *testing.T) {
 	r := newTestRecords()
 	small, big := protocol.MachineType{Name: "small", Cores: 4, MemoryGB: 8}, protocol.MachineType{Name: "big", Cores: 32, GPUs: 4, MemoryGB: 64}
@@ -214,7 +213,7 @@
 	}
 	r.Apply([]protocol.Change{chunk(0, small, 5), chunk(1, big, 6)})
 	if r.MachineTypes != nil {
-		t.Errorf("chunks of two revisions count: %+v", r.MachineTypes)
+		t.Errorf("chunks of two revisions are combined: %+v", r.MachineTypes)
 	}
 	r.Apply([]protocol.Change{chunk(0, small, 6)})
 	if !reflect.DeepEqual(r.MachineTypes, []protocol.MachineType{small, big}) {
@@ -225,15 +224,14 @@
 		t.Errorf("%+v", r.MachineTypes)
 	}
 	if size, ok := r.MachineSize("big"); !ok || size != SizeOf(big) {
-		t.Errorf("the size of a type that is no longer offered: %v", size)
+		t.Errorf("size of a type that is no longer offered: %v", size)
 	}
 	if _, ok := r.MachineSize("other"); ok {
-		t.Error("the size of an unknown type")
+		t.Error("an unknown type has a size")
 	}
 }
 
-// The machines of all delegation records of a shard are delegated, whichever the
-// proxy.
+// The machines in all delegation records of a shard are delegated, regardless of the proxy.
 func TestDelegations(t *testing.T) {
 	r := newTestRecords()
 	first, second := storage.DelegationID{Shard: 1, Controller: "n0"}, storage.DelegationID{Shard: 1, Controller: "n1"}
@@ -250,7 +248,7 @@
 	}
 }
 
-// A controller's session is reported at each change, 0 when its key is gone.
+// A controller's session is reported with each change of its key; 0 if the key is deleted.
 func TestControllerChanges(t *testing.T) {
 	r := newTestRecords()
 	changes := r.Apply([]protocol.Change{put(t, storage.ControllerKey("n0"), storage.Controller{Name: "n0", Session: 4}, 5), {Delete: storage.ControllerKey("n0"), Revision: 6}})
--- a/internal/coordination/delegation_acks.go
+++ b/internal/coordination/delegation_acks.go
@@ -134,7 +134,7 @@
 func (m *machine) isDelegable() bool { return !m.isExpired() && !m.removed && !m.releasing }
 
 // hasStartInFlight reports whether the machine may still execute a direct start, even
-// after its worker has seen the machine's current fencing token.
+// after its worker has received the machine's current fencing token.
 func (m *machine) hasStartInFlight() bool {
 	for _, run := range m.attempts {
 		if run.start.IsUnconfirmed() && run.directToken >= m.fenceToken {
--- a/internal/coordination/delegation_delay_order_test.go
+++ b/internal/coordination/delegation_delay_order_test.go
@@ -61,9 +61,10 @@
 	// executedAfter is the minimum time after the start of the last partition at which one
 	// of them must be executed.
 	executedAfter time.Duration
-	// competingWrites are kinds of other writes of which the first gets no answer,
-	// starting in the second before the delegation is due, for each proxy, or, with
-	// beforeAck, before the acknowledgement is due, for the holder.
+	// competingWrites are kinds of other writes by each proxy or, with beforeAck, by the
+	// holder. They are rejected until competingWriteDelay, which is less than one second
+	// before the delegation and the acknowledgement are due. Then the first write of each
+	// kind gets no answer.
 	competingWrites  []writeKind
 	beforeAck        bool
 	deniedController string // controller whose delegations are rejected
@@ -113,7 +114,7 @@
 	o := &delayCaseRun{delayCase: &c, attempts: map[string]int{}, sent: map[string]bool{}, forced: map[writeKind]int{}, precedingWrites: map[string]int{}}
 	synctest.Test(t, func(t *testing.T) {
 		o.w = newWorld(seed, nil)
-		isCrowded := len(c.competingWrites) == 1 && c.competingWrites[0] == migrationWrite // jobs migrate only where room is scarce
+		isCrowded := len(c.competingWrites) == 1 && c.competingWrites[0] == migrationWrite // jobs migrate only when capacity is scarce
 		if !isCrowded {
 			o.w.allowMachines(24)
 			o.w.fillMachines = 1 // so that several shards get jobs
--- a/internal/coordination/delegation_writes.go
+++ b/internal/coordination/delegation_writes.go
@@ -20,7 +20,7 @@
 
 const (
 	// delegationRepeatInterval is the time after which an unanswered write is resent, if
-	// the write budget has room beside other writes.
+	// the write budget suffices for it beside other writes.
 	delegationRepeatInterval = storage.HedgeInterval
 	// maxQuickRepeats is the maximum number of copies that are sent at
 	// delegationRepeatInterval.
@@ -38,11 +38,11 @@
 	preconditions []protocol.Precondition
 	lastSentAt    time.Time
 	repeats       int    // copies sent after the first
-	revision      uint64 // revision at which a copy was executed; 0: not known to be executed
+	revision      uint64 // revision at which a copy was executed; 0: not confirmed
 }
 
-// nextSendTime returns when the transaction may be resent. hasBudget tells whether the
-// write budget has room for it beside other writes.
+// nextSendTime returns when the transaction may be resent. hasBudget reports whether
+// the write budget suffices for it beside other writes.
 func (s *sentTxn) nextSendTime(hasBudget bool) time.Time {
 	if hasBudget && s.repeats < maxQuickRepeats && s.revision == 0 {
 		return s.lastSentAt.Add(delegationRepeatInterval)
@@ -51,8 +51,8 @@
 }
 
 // begin records that a transaction is sent now, and returns the state of its copies. It
-// returns nil if the transaction has to wait, because a copy was sent recently or is known
-// to be executed but not yet visible in the replicated records. budget is the number of
+// returns nil if the transaction has to wait, because a copy was sent recently, or was
+// executed and is not yet visible in the replicated records. budget is the number of
 // writes available beside other writes.
 func (s sentTxns) begin(txn protocol.Txn, budget int, now time.Time) *sentTxn {
 	sent := s[firstKey(txn)]
--- a/internal/coordination/dependency_requests.go
+++ b/internal/coordination/dependency_requests.go
@@ -35,7 +35,7 @@
 }
 
 // evaluateCancellation reports whether a direct or transitive dependency of a
-// live job is known to be cancelled, and returns the dependencies whose state
+// live job was certainly cancelled, and returns the dependencies whose state
 // is unknown. It fails with ErrUnavailable if this controller doesn't hold its
 // lease, since its copy of the records may be stale.
 func (n *Node) evaluateCancellation(live *clusterstate.JobRecord) (cancelled bool, unknown map[string]bool, err error) {
@@ -50,7 +50,7 @@
 }
 
 // anyCancelled reports whether any of the given jobs or their dependencies is
-// cancelled. It adds those whose state is not known to unknown.
+// cancelled. It adds those whose state it can't determine to unknown.
 func (n *Node) anyCancelled(ids []string, unknown, seen map[string]bool) bool {
 	for _, id := range ids {
 		if seen[id] {
@@ -132,7 +132,7 @@
 }
 
 // isService reports whether the job is a service. End records written by
-// former versions don't tell.
+// former versions don't contain this field.
 func (s storedJob) isService() bool {
 	return s.end != nil && s.end.IsService || s.live != nil && s.live.Record.Spec.IsService()
 }
--- a/internal/coordination/direct_dispatch.go
+++ b/internal/coordination/direct_dispatch.go
@@ -22,7 +22,7 @@
 	Report  *protocol.Heartbeat // the worker's state after the commands, if it answered
 }
 
-// DirectOutcome says whether a direct message was carried out.
+// DirectOutcome is the outcome of a direct message: whether it was carried out.
 type DirectOutcome uint8
 
 const (
@@ -41,7 +41,7 @@
 // directState tracks direct messages to a machine.
 type directState struct {
 	reportedAt time.Time // when its newest heartbeat was received
-	answered   bool      // its worker is known to have received an answer to a heartbeat
+	answered   bool      // its worker has confirmed that it received an answer to a heartbeat
 	notBefore  time.Time // backoff: no direct message before then
 	failures   int       // consecutive unanswered messages
 }
@@ -171,7 +171,7 @@
 }
 
 // buildMessage builds a direct message with stops and starts. It never
-// contains a clear: a late clear would make the worker forget an attempt whose
+// contains a clear: a late clear would make the worker drop an attempt whose
 // start may arrive again.
 func (t directTarget) buildMessage(now time.Time) directMessage {
 	s, m := t.shard, t.machine
--- a/internal/coordination/golden_test.go
+++ b/internal/coordination/golden_test.go
@@ -62,7 +62,7 @@
 	}
 }
 
-// A status of the previous version, which lacks the startable tasks and the room of
+// A status of the previous version, which lacks the startable tasks and the spare capacity of
 // shards, decodes as before, and one without such values is encoded as that version did.
 func TestStatusOfFormerVersion(t *testing.T) {
 	raw, err := os.ReadFile("testdata/status.former.golden")
--- a/internal/coordination/grant_builder.go
+++ b/internal/coordination/grant_builder.go
@@ -129,7 +129,7 @@
 	return ok
 }
 
-// canGrow reports whether a record may grow by this many bytes.
+// canGrow reports whether a record may grow by the given number of bytes.
 func (b *grantBuilder) canGrow(record grantRecordID, extraBytes int) bool {
 	if b.recordSize(record)+extraBytes > b.limits.MaxValueBytes() {
 		return false
@@ -153,8 +153,8 @@
 	b.recordBytes[record] = b.recordSize(record) + extraBytes
 }
 
-// editHead returns a copy of a shard's grant for changes that add this many
-// bytes; the caller stores it in b.grants.
+// editHead returns a copy of a shard's grant for changes that add the given
+// number of bytes; the caller stores it in b.grants.
 func (b *grantBuilder) editHead(shard, extraBytes int) storage.Grant {
 	b.reserve(headRecord(shard), extraBytes)
 	grant, ok := b.grants[shard]
@@ -172,8 +172,8 @@
 	return grant
 }
 
-// editChunk returns a copy of a chunk for changes that add this many bytes;
-// the caller stores it in b.chunks.
+// editChunk returns a copy of a chunk for changes that add the given number of
+// bytes; the caller stores it in b.chunks.
 func (b *grantBuilder) editChunk(record grantRecordID, extraBytes int) storage.GrantChunk {
 	b.reserve(record, extraBytes)
 	chunk, ok := b.chunks[record]
@@ -260,8 +260,8 @@
 
 // appendTo appends the changes to a transaction, each conditional on the
 // revisions of its record and of the shard's lease. A grant therefore fails
-// if, since it was planned, the holder has returned something or the shard has
-// gone to another holder.
+// if, since it was planned, the holder has returned something or the shard was
+// leased to another holder.
 func (b *grantBuilder) appendTo(txn *protocol.Txn) {
 	shards := map[int]bool{}
 	for _, i := range slices.Sorted(maps.Keys(b.grants)) {
--- a/internal/coordination/grant_machines.go
+++ b/internal/coordination/grant_machines.go
@@ -10,7 +10,7 @@
 // machineAssigner selects the shards to which free machines are granted.
 type machineAssigner struct {
 	builder      *grantBuilder
-	statuses     []*ShardStatus // by shard; nil: none known
+	statuses     []*ShardStatus // by shard; nil: none received
 	requestedFor map[string]int // shard for which a booted machine was requested, by machine
 	grantedCount map[int]int    // machines granted so far, by shard
 }
--- a/internal/coordination/grant_quota.go
+++ b/internal/coordination/grant_quota.go
@@ -75,7 +75,7 @@
 	return desired
 }
 
-// additionalShare returns how much of the free quota goes to a shard with a
+// additionalShare returns how much of the free quota is granted to a shard with a
 // shortage. If there is enough for all, it is at least a minimum, which saves
 // a further grant.
 func (n *Node) additionalShare(free, shortage, desired, limit float64) float64 {
--- a/internal/coordination/heartbeat_proxy.go
+++ b/internal/coordination/heartbeat_proxy.go
@@ -17,7 +17,7 @@
 	lastReached       map[string]time.Time               // time of the last successful call, by controller
 	firstCalled       map[string]time.Time               // time when the first call was due, by controller
 	relayFailed       map[string]bool                    // controllers that failed to answer a relayed heartbeat since they were last reached
-	loggedAnswering   map[int]bool                       // shards for which the log says that this controller answers
+	loggedAnswering   map[int]bool                       // shards for which it was logged that this controller answers
 	loggedFenceErrors map[string]bool                    // invalid fences that were already logged
 	sentTxns          sentTxns                           // sent transactions of the proxy and the holder side
 	changed           chan struct{}                      // closed and replaced when waiting heartbeats are to be re-evaluated
--- a/internal/coordination/job.go
+++ b/internal/coordination/job.go
@@ -8,7 +8,7 @@
 	"reedtrack/internal/storage"
 )
 
-// job is an accepted job that has not ended, as the holder of its shard sees it.
+// job is an accepted job that has not ended, as seen by the holder of its shard.
 //
 // addJob adds it to the shard, and endJob removes it once its record is gone or
 // names another shard. In between, its tasks may be placed while the job is
@@ -22,9 +22,10 @@
 //	             resolveDependencies
 //	migrating    set by migrateJobs, cleared when the write has certainly
 //	             failed or, by addJob, once the record has changed
-//	leaving      set by updateLeaving, cleared by it when the job is to stay: its
-//	             attempts end, then it migrates
-//	ended        set by endJob, for good: what still runs is being stopped
+//	draining     drainUntil is set by updateDrainingJobs, and cleared by it when
+//	             the job is to stay: its attempts end, then it migrates
+//	ended        set by endJob, never cleared: attempts that still run are being
+//	             stopped
 //
 // In addition, the planner skips a job that fails on every machine until
 // retryAfter, see recordTaskError.
@@ -58,8 +59,8 @@
 	// reported them yet. None of its tasks starts until the shard is
 	// reconciled.
 	unconfirmed bool
-	// Some dependency of the job is not known to have completed: none of its
-	// tasks starts.
+	// The completion of some dependency of the job is not confirmed: none of
+	// its tasks starts.
 	blocked bool
 	// The job is being moved to another shard: none of its tasks is placed
 	// until its record has changed.
@@ -81,10 +82,10 @@
 	backoff        time.Duration   // between the last two attempts of a job that fails on every machine
 	retryAfter     time.Time
 
-	// Waiting while another shard has free capacity, see migration_to_room.go.
+	// Waiting while another shard has spare capacity, see migration_to_room.go.
 	unplacedSince time.Time  // since when every plan has left one of its tasks unplaced; zero: the last plan did not
 	waitReason    waitReason // as of the last plan
-	drainUntil  time.Time  // until when its tasks are held back so that it can leave the shard; zero: they are not
+	drainUntil    time.Time  // until when its pending tasks are not placed, so that it can migrate; zero: it is not being drained
 
 	// Run times of its tasks, to detect slow machines.
 	measuredTasks   int     // tasks that completed under this holder
@@ -93,7 +94,7 @@
 	// For latency recording.
 	receivedAt  time.Time // when this controller received its record
 	startableAt time.Time // when its tasks became startable; zero: when it was received
-	completedAt time.Time // when its last task was seen to complete
+	completedAt time.Time // when the completion of its last task was recorded
 }
 
 // isComplete reports whether all tasks have completed.
@@ -138,8 +139,8 @@
 	return -1
 }
 
-// addTaskResources adds the resources of this many tasks to the amount of the
-// job's team.
+// addTaskResources adds the resources of the given number of tasks to the amount
+// of the job's team.
 func (j *job) addTaskResources(byTeam map[string]storage.Resources, tasks int) {
 	amount := byTeam[j.spec.Team]
 	amount.Cores += float64(tasks) * j.taskResources[placement.Cores]
@@ -166,8 +167,8 @@
 }
 
 // endJob handles a job whose record is gone: attempts that still run are
-// stopped immediately, including those already told to stop with a grace
-// period.
+// stopped immediately, including those to which a stop command with a grace
+// period was already sent.
 func (s *shard) endJob(id string) {
 	j := s.jobs[id]
 	if j == nil {
--- a/internal/coordination/job_migration.go
+++ b/internal/coordination/job_migration.go
@@ -33,8 +33,8 @@
 
 // migrateJobs moves jobs without placed tasks to shards that are expected to run
 // them sooner. No task of a migrating job is placed until the job's record shows
-// its shard: an unanswered write may still be applied, so it is retried until it is
-// known to have succeeded or failed for good.
+// its shard: an unanswered write may still be applied, so it is retried until it
+// has certainly succeeded or failed.
 func (n *Node) migrateJobs(ctx context.Context) {
 	for _, migration := range n.buildMigrations() {
 		_, err := n.store.Txn(ctx, migration.txn)
@@ -140,8 +140,8 @@
 	if n.records.CompletionChunksEnabled() && len(n.unsavedChunks(j)) > 0 {
 		return false // the move would lose task completions that are not yet stored
 	}
-	// The known demand and capacity of shards lag behind, since they come from
-	// records and statuses: a job that has just been received is not moved again.
+	// The demand and capacity of shards are taken from records and statuses, which
+	// lag behind: a job that has just been received is not moved again.
 	const minHeartbeats = 2
 	return now.Sub(j.receivedAt) >= n.heartbeatIntervals(minHeartbeats)
 }
--- a/internal/coordination/job_status.go
+++ b/internal/coordination/job_status.go
@@ -36,8 +36,8 @@
 		return protocol.JobStatus{}, ErrJobNotFound
 	}
 	if len(stored.live.Record.Spec.DependsOn) > 0 {
-		// Once a user was told that a dependency is cancelled, no later answer
-		// may say that this job is pending.
+		// After an answer that reports a cancelled dependency, no later answer
+		// may report this job as pending.
 		cancelled, err := n.hasCancelledDependency(ctx, stored.live)
 		if err != nil {
 			return protocol.JobStatus{}, ErrUnavailable
@@ -71,8 +71,8 @@
 }
 
 // liveStatus returns a live job's status with counts of its tasks for display.
-// The holder of its shard knows them; other controllers use the records and
-// the holder's last status.
+// The holder of its shard counts them itself; other controllers use the records
+// and the holder's last status.
 func (n *Node) liveStatus(live *clusterstate.JobRecord) protocol.JobStatus {
 	id, shardIndex := live.Record.Spec.ID, live.Record.Shard
 	done, _ := n.records.DoneTasks(live)
@@ -97,10 +97,10 @@
 }
 
 // lookupJob returns a job's live record or its end record, whichever exists,
-// at least as recent as anything that a user was told before the call. To that
+// at least as recent as any answer that a user got before the call. To that
 // end, the local copy of the records is brought up to date, which takes one
 // store request for all callers at about the same time. A job that the copy
-// then lacks has ended or was never accepted, and its end record tells which.
+// then lacks has ended or was never accepted: it has ended if it has an end record.
 // While the copy is being reloaded, or if the job's record is unreadable, both
 // records are read from the store.
 func (n *Node) lookupJob(ctx context.Context, id string) (storedJob, error) {
--- a/internal/coordination/job_writes.go
+++ b/internal/coordination/job_writes.go
@@ -15,9 +15,9 @@
 )
 
 const (
-	// progressInterval is the least time between two progress writes for one
+	// progressInterval is the minimum time between two progress writes for one
 	// job. Progress that is not written costs little (see writeJobs), and
-	// users are told of it without the record.
+	// answers to users include it without the record.
 	progressInterval = 3 * time.Second
 	// writesPerEnd is the number of writes in the transaction that ends a job:
 	// its record is deleted and its end record is put.
@@ -222,7 +222,7 @@
 }
 
 // newEndedJob returns the end record of a job. While former versions may read
-// it, the fields that they don't know are left out.
+// it, the fields that they don't support are left out.
 func (n *Node) newEndedJob(status string, done int, spec *protocol.Job) *storage.EndedJob {
 	end := &storage.EndedJob{Status: status, Completed: done}
 	if n.records.DependenciesEnabled() {
--- a/internal/coordination/leader_status.go
+++ b/internal/coordination/leader_status.go
@@ -7,7 +7,7 @@
 
 // receiveStatus applies a holder's requests. Requests of a former holder, and requests
 // that were planned before the last change of the shard's booting machines, are dropped:
-// the holder is informed of the change and plans again.
+// the reply contains the changed list, from which the holder plans again.
 func (l *leadership) receiveStatus(n *Node, status *Status, now time.Time) {
 	for _, id := range status.Cordoned {
 		l.cordoned[id] = true
--- a/internal/coordination/leadership.go
+++ b/internal/coordination/leadership.go
@@ -43,7 +43,7 @@
 	grantRevision  uint64
 	grantWrittenAt time.Time
 
-	// Booting machines, and requests that the cloud refused: see boot_queue.go.
+	// Booting machines, and kinds for which the cloud has no capacity: see boot_queue.go.
 	requestCount    int
 	booting         []*bootingMachine
 	bootingVersions map[int]uint64
@@ -87,8 +87,8 @@
 //
 //   - leaderTick writes grants;
 //   - cloudLoop reads the catalog, requests, lists and releases machines;
-//   - ReceiveStatus tells holders which machines boot for their shards, and queues
-//     the machines that they request;
+//   - ReceiveStatus replies to holders with the booting machines of their shards, and
+//     queues the machines that they request;
 //   - Heartbeat keeps the state of machines that belong to no shard;
 //   - deleteStaleChunks deletes completion chunks of ended jobs.
 //
--- a/internal/coordination/machine.go
+++ b/internal/coordination/machine.go
@@ -10,7 +10,7 @@
 	"reedtrack/internal/storage"
 )
 
-// machineState says what the holder knows of the tasks on a machine.
+// machineState is the state of the holder's information on the tasks of a machine.
 type machineState uint8
 
 const (
@@ -20,7 +20,7 @@
 	// count as absent, since a start sent by an earlier holder may still
 	// arrive.
 	machineUnreconciled machineState = iota
-	// machineReconciled: what runs on the machine is known.
+	// machineReconciled: the holder has a complete list of what runs on the machine.
 	machineReconciled
 	// machineExpired: the worker has been silent for longer than its lease, or
 	// the cloud has removed the machine. All its tasks have ended.
@@ -29,8 +29,8 @@
 
 // machine is a machine leased to a shard.
 //
-// Its state says what is known of its tasks. These are the transitions and the
-// functions that make them:
+// Its state is that of the holder's information on its tasks. These are the
+// transitions and the functions that make them:
 //
 //	(new)         -> reconciled   newMachine: granted under this lease, so it was
 //	                              empty, and no other holder can have started
@@ -46,18 +46,18 @@
 //
 //	health             set by detectFailures, and to healthy by any message of the
 //	                   worker: how long it has been silent, before its lease expires
-//	removed            set by planTick, for good: the cloud's list lacks it. The
-//	                   machine is expired as well, and released.
-//	cordoned           set by recordTaskError, for good: its tasks fail. They are
-//	                   stopped, and the machine is released.
-//	slow               set by detectSlowMachines, for good: its tasks may end, then
-//	                   the machine is released
+//	removed            set by planTick, never cleared: the cloud's list lacks it.
+//	                   The machine is expired as well, and released.
+//	cordoned           set by recordTaskError, never cleared: its tasks fail. They
+//	                   are stopped, and the machine is released.
+//	slow               set by detectSlowMachines, never cleared: its tasks may end,
+//	                   then the machine is released
 //	reclaimAt          set and cleared by recordReclaimNotice, as the worker reports
 //	                   it: the cloud will take the machine away
 //	draining           set by consolidate, cleared by it when work is pending: its
 //	                   tasks continue elsewhere, then the machine is released
-//	releasing          set by scaleIn, for good: empty, and left out of the next
-//	                   grant. removeMachine follows once the grant lacks it.
+//	releasing          set by scaleIn, never cleared: empty, and left out of the
+//	                   next grant. removeMachine follows once the grant lacks it.
 //	runsUnreadableJob  set and cleared by each heartbeat: it lists a task whose
 //	                   job's record can't be decoded
 //	orphans            likewise: it lists tasks that should not be there
@@ -70,7 +70,7 @@
 
 	// Its tasks.
 	attempts     map[taskKey]*taskAttempt
-	tasksToClear map[taskKey]uint64 // ended tasks that the worker may forget, with their attempts
+	tasksToClear map[taskKey]uint64 // ended tasks that the worker may delete, with their attempts
 	orphans      map[taskKey]uint64 // reported tasks that do not belong on the machine, to be stopped
 	images       map[string]bool    // images fetched for tasks of this holder
 	taskErrors   int                // consecutive errors that are attributed to the machine
@@ -97,7 +97,7 @@
 }
 
 // newMachine returns a machine that a grant record contains for the first
-// time. grantedNow says that it was granted under the holder's present lease.
+// time. grantedNow is set if it was granted under the holder's present lease.
 func newMachine(lease storage.MachineLease, size placement.Resources, grantedNow bool, now time.Time) *machine {
 	m := &machine{
 		lease:        lease,
@@ -124,7 +124,7 @@
 // tasks have ended.
 func (m *machine) isExpired() bool { return m.state == machineExpired }
 
-// markReconciled records that the worker knows this holder's fencing token.
+// markReconciled records that the worker has received this holder's fencing token.
 func (m *machine) markReconciled() {
 	if m.state == machineUnreconciled {
 		m.state = machineReconciled
@@ -156,7 +156,7 @@
 }
 
 // recordReclaimNotice records the cloud's notice, forwarded by the worker,
-// that it will reclaim the machine in this many seconds; nil: no notice. The
+// that it will reclaim the machine in the given number of seconds; nil: no notice. The
 // first notice sets the time, since later ones repeat it with some delay.
 func (m *machine) recordReclaimNotice(seconds *float64, now time.Time) {
 	if seconds == nil {
@@ -175,8 +175,8 @@
 // freeCapacity returns the capacity that placed tasks leave unused.
 func (m *machine) freeCapacity() placement.Resources { return m.capacity.Sub(m.used) }
 
-// mayRunUnreportedTasks reports whether the machine may run tasks that this
-// holder does not know.
+// mayRunUnreportedTasks reports whether the machine may run tasks that were not
+// reported to this holder.
 func (m *machine) mayRunUnreportedTasks() bool {
 	return !m.isReconciled() || m.runsUnreadableJob || len(m.orphans) > 0
 }
--- a/internal/coordination/machine_inventory.go
+++ b/internal/coordination/machine_inventory.go
@@ -69,7 +69,7 @@
 }
 
 // dropMachine removes a machine that is released or no longer exists. Its ID is
-// remembered, since late heartbeats and lists may still contain it.
+// kept in released, since late heartbeats and lists may still contain it.
 func (l *leadership) dropMachine(id string) {
 	l.released[id] = true
 	delete(l.machines, id)
@@ -206,7 +206,7 @@
 
 // findRemoved finds machines that the list shows as failed, or that no longer
 // exist. Those that a shard has are reported to its holder; others that no
-// longer exist are forgotten.
+// longer exist are removed.
 func (l *leadership) findRemoved(list machineList, shardOfMachine map[string]int) {
 	l.failed = map[string]bool{}
 	for id, machine := range l.machines {
--- a/internal/coordination/migration_to_room.go
+++ b/internal/coordination/migration_to_room.go
@@ -139,7 +139,7 @@
 
 const (
 	noStayReason            stayReason = ""              // none: the job migrates
-	stayGang                stayReason = "gang"          // it is not known whether all tasks of the gang fit elsewhere
+	stayGang                stayReason = "gang"          // statuses do not show whether all tasks of the gang fit elsewhere
 	stayNoCapacityElsewhere stayReason = "no room"       // no other shard has capacity for it
 	stayOwnCapacity         stayReason = "own room"      // its own shard has capacity for as many of its tasks
 	stayTeamAtLimit         stayReason = "team at limit" // no shard may start more of the team's tasks
@@ -200,12 +200,12 @@
 }
 
 // sourceHasCapacity reports whether a job's own shard has capacity for it, so that
-// it only waits for a share of its team's quota, or not for long.
+// it waits only for a share of its team's quota, or only briefly.
 //
 // A draining job gets none of that capacity, and its own tasks free some as they
 // end. It stays only if its shard can place as many of its pending tasks as the
 // capacity elsewhere could: otherwise the first task that ends would cancel the
-// draining, and so would each task that is placed in its place.
+// draining, and so would each task placed on the capacity that it freed.
 func (r *migrationTargets) sourceHasCapacity(j *job, elsewhere []spareCapacity) bool {
 	if j.isDraining() {
 		wanted := min(j.pendingTasks(), j.countFittingTasks(elsewhere))
--- a/internal/coordination/node.go
+++ b/internal/coordination/node.go
@@ -41,7 +41,7 @@
 	guards       dispatch.DisabledGuards // disabled one at a time by tests
 	now          func() time.Time
 	cpuTime      func() time.Duration                     // CPU time that the process has used
-	findEndedJob func(id string) (storage.EndedJob, bool) // returns how a job ended, if its end is known to be stored
+	findEndedJob func(id string) (storage.EndedJob, bool) // returns how a job ended, if its end is confirmed to be stored
 	replica      *storage.Replica
 	readIndex    *storage.ReadIndex
 	confirm      func(context.Context) error // updates the replicated records below with everything that was committed before the call
--- a/internal/coordination/overview.go
+++ b/internal/coordination/overview.go
@@ -85,7 +85,7 @@
 }
 
 // shardView describes a shard. Of shards that other controllers hold, only
-// what the records show is known.
+// what the records show is included.
 func (n *Node) shardView(shardIndex, jobCount int) transport.ShardView {
 	lease := n.records.Shards[shardIndex].Value
 	view := transport.ShardView{
@@ -165,8 +165,8 @@
 }
 
 // displayState returns the state of a machine as shown to operators. If
-// several apply, it is the one that says most about what will become of the
-// machine.
+// several apply, it is the first in the order below, which puts those first that
+// determine what will happen to the machine.
 func (m *machine) displayState() string {
 	switch {
 	case m.releasing:
--- a/internal/coordination/quota_shares.go
+++ b/internal/coordination/quota_shares.go
@@ -133,8 +133,8 @@
 			}
 		}
 		// The write of a lowered share is retried until the record shows it: the
-		// shard no longer uses the difference, which would stay unused for good
-		// once no other shard is short of it.
+		// shard no longer uses the difference, which would stay unused
+		// permanently once no other shard is short of it.
 		next[team] = minAmount(share, s.shares[team])
 		lowered = lowered || next[team] != share
 	}
--- a/internal/coordination/reconcile.go
+++ b/internal/coordination/reconcile.go
@@ -8,7 +8,7 @@
 	"reedtrack/internal/protocol"
 )
 
-// Reconciliation works in both directions. A heartbeat tells what is on a machine,
+// Reconciliation works in both directions. A heartbeat lists what is on a machine,
 // and this holder's view is updated to match. The answer carries the commands that
 // make the machine match the plan. Neither relies on the delivery of the other:
 // each heartbeat lists everything, and a command is sent again until a heartbeat
@@ -204,7 +204,7 @@
 	return commands
 }
 
-// clearCommands returns the commands that make the worker forget ended tasks.
+// clearCommands returns the commands that make the worker delete ended tasks.
 // It returns an empty list rather than nil, since the encoding of the answer
 // differs.
 func (s *shard) clearCommands(m *machine) []protocol.Command {
--- a/internal/coordination/record_changes.go
+++ b/internal/coordination/record_changes.go
@@ -168,7 +168,7 @@
 		savedCount:    done.Len(),
 		urgency:       spec.PriorityLevel(),
 		deadlineMS:    math.Inf(1),
-		blocked:       len(spec.DependsOn) > 0, // until the end records of its dependencies are known
+		blocked:       len(spec.DependsOn) > 0, // until the end records of its dependencies have been read
 	}
 	if spec.DeadlineSeconds != nil {
 		j.deadlineMS = float64(jr.Record.AcceptedAtMS) + 1000**spec.DeadlineSeconds
--- a/internal/coordination/scale_in.go
+++ b/internal/coordination/scale_in.go
@@ -41,7 +41,7 @@
 	return silentLeaseTimeouts * leaseTimeout
 }
 
-// isConfirmedEmpty reports whether a machine is known to run no tasks.
+// isConfirmedEmpty reports whether a machine certainly runs no tasks.
 func (m *machine) isConfirmedEmpty() bool {
 	return m.isReconciled() && len(m.attempts) == 0 && len(m.orphans) == 0 && !m.runsUnreadableJob
 }
@@ -119,7 +119,7 @@
 
 // mayReduceGrant reports whether a shard's grant may be written now. The last successful
 // write has to show in the local copy first: another write before would fail. And changes
-// are batched: with hundreds of machines some could be released all the time, and the
+// are batched: with hundreds of machines some could be released continually, and the
 // writes of job records share the same budget.
 func (n *Node) mayReduceGrant(s *shard, now time.Time) bool {
 	if _, ok := n.records.Grants[s.index]; !ok || !n.canChangeGrant(s.index) || s.grantWritePending {
--- a/internal/coordination/scale_out.go
+++ b/internal/coordination/scale_out.go
@@ -92,7 +92,7 @@
 
 // maxNewMachines returns how many machines may be requested. A full grant record has no
 // space for more machines: they would stay idle and be released. And while this
-// controller is isolated, it is not known how many machines are lost: then only a few are
+// controller is isolated, the number of lost machines is uncertain: then only a few are
 // requested, as probes.
 func (s *shard) maxNewMachines(bootingCount int, input *planInput) int {
 	count := input.maxMachines - len(s.machines) - bootingCount
--- a/internal/coordination/schema.go
+++ b/internal/coordination/schema.go
@@ -10,9 +10,10 @@
 	"reedtrack/internal/storage"
 )
 
-// storeLimits returns the write limits that the store currently enforces. Versions without
-// split grants only write what fits the present limits; after the upgrade, lower limits
-// may take effect without notice.
+// storeLimits returns the write limits that this controller must respect. Until every
+// controller supports split grants, these are the store's present limits, within which the
+// previous version writes too. Afterwards they are the lower of the present and the
+// announced limits, which may then take effect without notice.
 func (n *Node) storeLimits() config.Limits {
 	if n.records.SplitGrantsEnabled() {
 		return n.settings.StoreLimits()
--- a/internal/coordination/service.go
+++ b/internal/coordination/service.go
@@ -25,7 +25,7 @@
 
 // errorResponse returns the status code and body for a request's error. 400,
 // 404 and 422 are final: the request can't succeed as it is. Users retry after
-// 503, so it is returned for every error that isn't known to be final.
+// 503, so it is returned for every error that may not be final.
 func errorResponse(err error) (int, any) {
 	var invalidField *protocol.InvalidFieldError
 	var invalid *InvalidJobError
@@ -62,9 +62,9 @@
 
 // handleMalformed handles a submission that can't be decoded. If it repeats an
 // accepted job's ID, the answer is the job's status, whatever else is wrong
-// with it: a 400 would tell the user that the job does not exist. Only the
-// store knows whether a job was accepted, so nothing is rejected while the
-// store is unavailable.
+// with it: a 400 would mean that the job does not exist. Only the store shows
+// whether a job was accepted, so nothing is rejected while the store is
+// unavailable.
 func (s Service) handleMalformed(ctx context.Context, body []byte, parseError error) (int, any) {
 	id, ok := protocol.ExtractJobID(body)
 	if ok {
@@ -97,7 +97,7 @@
 
 // handleJobRequest handles a request about one job by calling a method of the
 // node. A job whose ID is malformed was never accepted, so the store is not
-// asked.
+// queried.
 func handleJobRequest[T any](ctx context.Context, id string, query func(context.Context, string) (T, error)) (int, any) {
 	if !protocol.ValidJobID(id) {
 		return errorResponse(ErrJobNotFound)
--- a/internal/coordination/service_levels.go
+++ b/internal/coordination/service_levels.go
@@ -24,7 +24,7 @@
 	return serviceLevels{byClass: map[string]policy.ServiceLevel{}, byTeam: map[string]policy.ServiceLevel{}}
 }
 
-// record counts a job for its class and team; met tells whether it met its deadline.
+// record counts a job for its class and team; met reports whether it met its deadline.
 func (s serviceLevels) record(record *storage.Job, met bool, now time.Time) {
 	recordLevel(s.byClass, record.Spec.Class, met, now)
 	recordLevel(s.byTeam, record.Spec.Team, met, now)
--- a/internal/coordination/share_stall.go
+++ b/internal/coordination/share_stall.go
@@ -15,7 +15,7 @@
 // A stall is detected from the time for which a share has been unused rather than from the
 // free capacity: on machines that are always full, a share is used as soon as a task ends
 // there. A stall ends after a while, so that the shard gets its part again and can retry;
-// otherwise it could stay without a share for good.
+// otherwise it could stay without a share permanently.
 
 const (
 	// stallHeartbeats is the number of heartbeat intervals without a machine after
--- a/internal/coordination/status_check.go
+++ b/internal/coordination/status_check.go
@@ -77,7 +77,7 @@
 	return amount >= 0 && (limit <= 0 || amount <= limit+amountTolerance)
 }
 
-// checkSpareCapacity returns an error if a shard's free room is invalid, or nil.
+// checkSpareCapacity returns an error if a shard's spare capacity is invalid, or nil.
 func (n *Node) checkSpareCapacity(from string, shard int, room spareCapacity) *statusValueError {
 	size, known := n.records.MachineSize(room.Kind.MachineType)
 	if !known {
--- a/internal/coordination/status_exchange.go
+++ b/internal/coordination/status_exchange.go
@@ -38,10 +38,10 @@
 	SmallestTask map[string]storage.Resources `cbor:"Units,omitempty"`
 	Running      map[string]int               `cbor:"Running"`
 	// Startable is the part of Desired that the shard has machines for, by team, where
-	// that is less than Desired. Room is free capacity that none of the shard's own tasks
-	// takes. Both are sent once every controller runs a version that supports them.
-	Startable map[string]storage.Resources `cbor:"Startable,omitempty"`
-	SpareCapacity      []spareCapacity              `cbor:"Room,omitempty"`
+	// that is less than Desired. SpareCapacity is free capacity that none of the shard's
+	// own tasks can use. Both are sent once every controller runs a version that supports them.
+	Startable     map[string]storage.Resources `cbor:"Startable,omitempty"`
+	SpareCapacity []spareCapacity              `cbor:"Room,omitempty"`
 }
 
 // StatusReply is the reply to a Status. Only the leader fills in more than the sender and
--- a/internal/coordination/submission.go
+++ b/internal/coordination/submission.go
@@ -15,8 +15,8 @@
 )
 
 // ErrUnavailable is returned when this controller can't decide now; the user
-// should retry. It does not tell what happened to the job: a request that
-// failed with it may still have been carried out.
+// should retry. The outcome of the request is unknown: a request that failed
+// with it may still have been carried out.
 var ErrUnavailable = errors.New("can't decide now")
 
 // InvalidJobError reports a job that can never run, and the field at fault.
--- a/internal/coordination/task_attempt.go
+++ b/internal/coordination/task_attempt.go
@@ -26,11 +26,11 @@
 //
 // Its life cycle, with the function that makes each transition:
 //
-//	placed      place: the task has been assigned to a machine, which does not
-//	            know it yet
+//	placed      place: the task has been assigned to a machine, to which no start
+//	            has been sent yet
 //	start sent  startCommands, or buildMessage for a direct message: it may be on
 //	            the machine from now on
-//	reported    updateAttempt: a heartbeat lists it; status says whether it is
+//	reported    updateAttempt: a heartbeat lists it; status shows whether it is
 //	            starting or running. An attempt that an earlier holder placed
 //	            begins here, see adoptAttempt.
 //	dropped     dropAttempt: it is certainly not, or no longer, on the machine,
@@ -47,8 +47,8 @@
 //   - its start was not sent yet and it is no longer needed there
 //     (dropUnsent).
 //
-// stopRequested is independent of this: an attempt whose start was sent is
-// told to stop with every answer until it is reported as exited.
+// stopRequested is independent of this: if the start of an attempt was sent, every
+// answer carries a stop command for it until it is reported as exited.
 type taskAttempt struct {
 	key           taskKey
 	job           *job
@@ -228,7 +228,7 @@
 // worker has one heartbeat in flight at a time. If an earlier answer carried
 // an attempt's start and the worker does not list the attempt now, it has
 // dropped it with that answer or forgotten it. token is the newest fencing
-// token that the worker has seen.
+// token that the worker has received.
 func (s *shard) dropAbsentAttempts(m *machine, listed map[taskKey]bool, token uint64) {
 	for key, attempt := range m.attempts {
 		if !listed[key] && attempt.start.ConfirmAbsent(token > attempt.directToken, s.guards) {
--- a/internal/failuredetector/isolation.go
+++ b/internal/failuredetector/isolation.go
@@ -37,7 +37,7 @@
 	// is long enough for each of several isolated controllers to do so once.
 	handoverBackoff = 8 * minStepDownBackoff
 	// maxTick bounds the silence that one tick adds: a suspended or CPU-starved
-	// process receives no heartbeats, which says nothing about the workers.
+	// process receives no heartbeats, which does not show that workers are silent.
 	maxTick = 500 * time.Millisecond
 )
 
--- a/internal/failuredetector/isolation_store_test.go
+++ b/internal/failuredetector/isolation_store_test.go
@@ -11,8 +11,8 @@
 
 func (o outage) contains(at time.Duration) bool { return at >= o.from && at < o.until }
 
-// storeOutageModel simulates a controller with many workers and the key-value store, each
-// with one outage.
+// storeOutageModel simulates a controller whose workers and key-value store each have one
+// outage.
 type storeOutageModel struct {
 	workers, store outage
 	ignoreStore    bool // the detector is not notified of the store outage
@@ -56,7 +56,7 @@
 // violation describes why the time of the step-down is incorrect; "" if it is correct.
 func (m storeOutageModel) violation() string {
 	steppedDown := m.steppedDownAt()
-	// How long the workers must be silent while the store answers.
+	// minSilence is how long the workers must be silent while the store answers.
 	minSilence := testTiming.SuspectAfter() + 2*modelTick
 	deadline := m.workers.from + minSilence
 	if m.store.from < deadline && m.store.until > m.workers.from-modelStoreTimeout {
--- a/internal/failuredetector/view.go
+++ b/internal/failuredetector/view.go
@@ -7,7 +7,7 @@
 type Machine struct {
 	Zone    int           // from 0
 	Silence time.Duration // since its latest heartbeat, or since the controller could receive any if that is later
-	Expired bool          // silent until its worker's lease expired, and not known to be removed permanently
+	Expired bool          // silent until its worker's lease expired, and not reported as removed by the cloud
 }
 
 // State is the availability of a machine for new tasks.
--- a/internal/storage/doc.go
+++ b/internal/storage/doc.go
@@ -18,15 +18,15 @@
 //     once a key among its preconditions has been written or deleted.
 //   - A lease is kept alive by renewals. A key that was written under a lease is
 //     deleted with it, and a transaction that names an expired lease fails. So a
-//     key that is gone, or names another session, proves that whoever wrote it
-//     may no longer act. That the lease holds is something only its owner can
-//     know, by its own clock, counted from when a renewal was sent.
+//     key that is missing, or names another session, proves that its writer may
+//     no longer act. Only the owner of a lease can determine that it still holds
+//     the lease: by its own clock, counted from when a renewal was sent.
 //
 // # Keys
 //
 // All live records are stored under [LivePrefix] and watched by every controller.
 //
-//	r/leader               Controller            whoever leads, under its lease
+//	r/leader               Controller            the leader, under its lease
 //	r/alive/NAME           Controller            that controller, under its lease
 //	r/term                 FencingTokenCounter   the leader, with each grant
 //	r/shard/N              ShardLease            the leader
@@ -35,7 +35,7 @@
 //	r/catalog              protocol.Catalog      the leader
 //	r/catalog/K            CatalogChunk          the leader
 //	r/job/ID               Job                   any controller, on submission; the holder, for progress and moves
-//	r/done/ID/FROM         CompletionChunk       the holder; the leader deletes what ended jobs left
+//	r/done/ID/FROM         CompletionChunk       the holder; the leader deletes those of ended jobs
 //	r/deputy/N/NAME/K      Delegation            the heartbeat proxy, under its lease
 //	r/named/N/NAME/K       DelegationAck         the holder, under its lease
 //	r/mark/NAME            VersionMarker         that controller
--- a/internal/storage/errors_test.go
+++ b/internal/storage/errors_test.go
@@ -8,7 +8,8 @@
 	"reedtrack/internal/transport"
 )
 
-// Each answer of the store becomes the error that says whether to repeat the request.
+// Each answer of the store maps to the error that determines whether the request may be
+// retried.
 func TestClassify(t *testing.T) {
 	status := func(code int, body string) error { return &transport.StatusError{StatusCode: code, Body: []byte(body)} }
 	var rejected *transport.StatusError
--- a/internal/storage/golden_test.go
+++ b/internal/storage/golden_test.go
@@ -16,8 +16,8 @@
 	"reedtrack/internal/protocol"
 )
 
-// recordTypes are all stored records, by their names in testdata/records.golden, and
-// below them the JSON of grants, which stands in values of other forms.
+// recordTypes maps the names in testdata/records.golden to the types of all stored records,
+// and to the JSON types of grants, whose encoding differs from the Go types.
 var recordTypes = map[string]any{"node": Controller{}, "term": FencingTokenCounter{}, "shard": ShardLease{}, "job": Job{}, "end": EndedJob{},
 	"form": SchemaVersion{}, "mark": VersionMarker{}, "deputy": Delegation{}, "confirmation": DelegationAck{}, "part": CompletionChunk{},
 	"catalog part": CatalogChunk{}, "catalog": protocol.Catalog{},
@@ -43,9 +43,9 @@
 			if err := json.Unmarshal([]byte(want), v.Interface()); err != nil {
 				t.Fatal(err)
 			}
-			if isFull && v.Elem().Type() != reflect.TypeFor[Grant]() { // in two forms, each complete below
+			if isFull && v.Elem().Type() != reflect.TypeFor[Grant]() { // it has two encodings, whose JSON types are checked for completeness
 				for _, field := range unset(v.Elem(), kind) {
-					t.Errorf("%s is not read from the golden file", field)
+					t.Errorf("%s is zero after decoding the golden file", field)
 				}
 			}
 			got, _ := json.Marshal(v.Interface())
@@ -61,7 +61,8 @@
 	}
 }
 
-// unset names the fields that are zero, also in the first element of each list.
+// unset returns the paths of fields that are zero, including those of the first element of
+// each list and map.
 func unset(v reflect.Value, path string) (fields []string) {
 	switch {
 	case v.IsZero():
--- a/internal/storage/grant_test.go
+++ b/internal/storage/grant_test.go
@@ -33,8 +33,8 @@
 	return raw
 }
 
-// A grant is read as it was written, and one more machine adds no more than
-// MaxMachineLeaseBytes says.
+// A grant decodes to what was encoded, and one more machine adds at most
+// MaxMachineLeaseBytes.
 func TestGrantRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		leases := machineLeases()
@@ -65,7 +65,7 @@
 	})
 }
 
-// A chunk and a grant in chunks are read as they were written.
+// A chunk, and the head of a grant in chunks, decode to what was encoded.
 func TestGrantChunkRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		chunk := GrantChunk{
@@ -101,11 +101,11 @@
 		t.Run(name, func(t *testing.T) {
 			var grant Grant
 			if json.Unmarshal([]byte(malformed), &grant) == nil {
-				t.Errorf("%s was read as a grant", malformed)
+				t.Errorf("%s was decoded as a grant", malformed)
 			}
 			var chunk GrantChunk
 			if json.Unmarshal([]byte(malformed), &chunk) == nil {
-				t.Errorf("%s was read as a chunk", malformed)
+				t.Errorf("%s was decoded as a chunk", malformed)
 			}
 		})
 	}
--- a/internal/storage/hedged_txn_test.go
+++ b/internal/storage/hedged_txn_test.go
@@ -54,11 +54,11 @@
 	}{
 		"answered at once":           {[]int{ok}, 100, 1, 0, nil},
 		"second copy is answered":    {[]int{0, ok}, 100, 2, HedgeInterval, nil},
-		"second copy finds it done":  {[]int{0, conflict}, 100, 2, HedgeInterval, ErrConflict},
-		"a copy that is refused":     {[]int{0, refused, ok}, 100, 3, 2 * HedgeInterval, nil},
+		"second copy conflicts":      {[]int{0, conflict}, 100, 2, HedgeInterval, ErrConflict},
+		"second copy is refused":     {[]int{0, refused, ok}, 100, 3, 2 * HedgeInterval, nil},
 		"refused at once":            {[]int{refused, ok}, 100, 1, 0, ErrRefused},
 		"no answer at all":           {nil, 100, maxTxnCopies, (maxTxnCopies-1)*HedgeInterval + leaseTimeout, ErrUnknown},
-		"no room for copies":         {[]int{0, ok}, 4, 1, leaseTimeout, ErrUnknown},
+		"no budget for copies":       {[]int{0, ok}, 4, 1, leaseTimeout, ErrUnknown},
 		"no budget for the first":    {[]int{ok}, noBudget, 0, 0, ErrBudgetExhausted},
 		"the last copy is answered":  {[]int{0, 0, 0, 0, ok}, 100, maxTxnCopies, (maxTxnCopies - 1) * HedgeInterval, nil},
 		"late answers are discarded": {[]int{0, 0, ok, conflict}, 100, 3, 2 * HedgeInterval, nil},
@@ -78,7 +78,7 @@
 					t.Errorf("revision %d, error %v", revision, err)
 				}
 				if took := time.Since(start); took != c.took || store.requests != c.requests {
-					t.Errorf("%d requests in %v, not %d in %v", store.requests, took, c.requests, c.took)
+					t.Errorf("%d requests in %v, want %d in %v", store.requests, took, c.requests, c.took)
 				}
 				synctest.Wait()
 			})
--- a/internal/storage/index_set_test.go
+++ b/internal/storage/index_set_test.go
@@ -6,21 +6,21 @@
 	"pgregory.net/rapid"
 )
 
-// drawIndexSet adds random indices below limit to a set and to a plain model of it.
+// drawIndexSet draws indices below limit, and returns a set of them and a map as its model.
 func drawIndexSet(t *rapid.T, limit int) (*IndexSet, map[int]bool) {
 	t.Helper()
 	var set IndexSet
 	model := map[int]bool{}
 	for _, i := range rapid.SliceOf(rapid.IntRange(0, limit-1)).Draw(t, "indices") {
 		if set.Add(i) == model[i] {
-			t.Fatalf("Add(%d) does not tell whether it was new", i)
+			t.Fatalf("Add(%d) does not report whether the index was new", i)
 		}
 		model[i] = true
 	}
 	return &set, model
 }
 
-// A set is read from its text as it was, and from a shortened text as a subset.
+// The text of a set decodes to the same set, and a shortened text decodes to a subset.
 func TestIndexSetRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const limit = 300
@@ -30,7 +30,7 @@
 			t.Fatal(err)
 		}
 		if back.Len() != len(model) {
-			t.Fatalf("%d of %d came back", back.Len(), len(model))
+			t.Fatalf("%d of %d indices decoded", back.Len(), len(model))
 		}
 
 		maxBytes := rapid.IntRange(0, 200).Draw(t, "max bytes")
@@ -71,7 +71,7 @@
 	for _, malformed := range []string{"x-", "5-2", "-1", "zzzz", "1,,2"} {
 		t.Run(malformed, func(t *testing.T) {
 			if _, err := ParseIndexSet(malformed, 1000); err == nil {
-				t.Errorf("%q was read", malformed)
+				t.Errorf("%q was accepted", malformed)
 			}
 		})
 	}
@@ -86,7 +86,7 @@
 		t.Run(name, func(t *testing.T) {
 			var set IndexSet
 			if err := set.AddChunk(malformed, 900, 1000); err == nil {
-				t.Errorf("chunk %q was read", malformed)
+				t.Errorf("chunk %q was accepted", malformed)
 			}
 		})
 	}
--- a/internal/storage/keys_test.go
+++ b/internal/storage/keys_test.go
@@ -2,7 +2,8 @@
 
 import "testing"
 
-// Keys are stored: their text never changes, and each is read as what it was made of.
+// Stored keys never change, and each key parses to the values that it was built from, and
+// only as a key of its own kind.
 func TestKeys(t *testing.T) {
 	named := func(parse func(string) (string, bool), want string) func(string) bool {
 		return func(key string) bool { got, ok := parse(key); return ok && got == want }
@@ -39,11 +40,11 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			if c.key != c.want || !c.parses(c.want) {
-				t.Errorf("key %q, want %q; read back: %t", c.key, c.want, c.parses(c.want))
+				t.Errorf("key %q, want %q; parsed correctly: %t", c.key, c.want, c.parses(c.want))
 			}
 			for other, o := range cases {
 				if other != name && c.parses(o.key) {
-					t.Errorf("%q was read as the key of another kind", o.key)
+					t.Errorf("%q was parsed as a key of another kind", o.key)
 				}
 			}
 		})
--- a/internal/storage/leader_budget_test.go
+++ b/internal/storage/leader_budget_test.go
@@ -11,19 +11,20 @@
 )
 
 const (
-	// leaderStoreRPS is a store's limit of writes a second, of which a leader among three
-	// controllers has a share of 108.
+	// leaderStoreRPS is the store's limit of writes per second. The share of a leader among
+	// three controllers is 108.
 	leaderStoreRPS = 200
-	// userPause is the pause between two writes of users, a tenth more than that share.
+	// userPause is the pause between two writes of users, whose rate exceeds that share by
+	// a tenth.
 	userPause = time.Second / 120
-	// workerLease is how long workers wait for a holder before they drop their tasks.
+	// workerLease is how long workers without a holder keep their tasks.
 	workerLease = 20 * time.Second
 	// leaderTickPause is how long a leader waits between two attempts.
 	leaderTickPause = 250 * time.Millisecond
 )
 
 // Guards against a leader that can't write shard leases while the workers of a terminated
-// holder wait, because users' requests use the write budget in advance.
+// holder wait, because users' requests have reserved the write budget in advance.
 func TestLeaderWritesBesideUsers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		client := NewClientWithTransport(emptyObjectTransport{}, 1000, leaderStoreRPS, 3)
--- a/internal/storage/rate_budget_test.go
+++ b/internal/storage/rate_budget_test.go
@@ -20,9 +20,9 @@
 func TestWriteBudgetFollowsLeadership(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := NewClientWithTransport(nil, 1000, 60, 7)
-		// One of nine shares of 54 is 6, and a process begins with half of it.
+		// One of nine shares of 54 is 6, and a process starts with half of it.
 		if got := c.AvailableWrites(); got != 3 {
-			t.Errorf("%d writes available at first, want 3", got)
+			t.Errorf("%d writes available initially, want 3", got)
 		}
 		time.Sleep(time.Second)
 		if got := c.AvailableWrites(); got != 6 {
@@ -33,7 +33,7 @@
 		time.Sleep(700 * time.Millisecond) // at 18 a second
 		saved := c.AvailableWrites()
 		if saved < 15 {
-			t.Errorf("%d writes saved up as leader, want at least 15", saved)
+			t.Errorf("%d writes accumulated as leader, want at least 15", saved)
 		}
 		for range 3 {
 			c.SetLeading(true, 60, 7)
@@ -138,7 +138,7 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		cancel()
 		var err error
-		for range 10 { // more than the burst that a process begins with
+		for range 10 { // more than the burst that a process starts with
 			err = b.await(ctx, reservation{maxWait: time.Minute})
 		}
 		if !errors.Is(err, ErrRefused) || errors.Is(err, ErrBudgetExhausted) {
--- a/internal/storage/read_index_test.go
+++ b/internal/storage/read_index_test.go
@@ -17,8 +17,8 @@
 	"reedtrack/internal/protocol"
 )
 
-// delayingTransport serves a store with random delays of requests and answers, some of them long, so
-// that answers arrive out of order.
+// delayingTransport serves a store with random delays of requests and answers. Some delays
+// are long, so that answers arrive out of order.
 type delayingTransport struct {
 	store *emulator.KVStore
 	mu    sync.Mutex
@@ -49,7 +49,7 @@
 	return response(r, code, raw), nil
 }
 
-// counterReplica is a replica of a store in which one number grows.
+// counterReplica is a replica of a store that contains one increasing number.
 type counterReplica struct {
 	transport *delayingTransport
 	index     *ReadIndex
@@ -79,7 +79,7 @@
 }
 
 // simulateReads runs readers of two replicas while the store changes and has an outage. It
-// counts the answers, and those older than an answer given before the read began.
+// counts the answers, and those older than an answer returned before the read began.
 func simulateReads(t *testing.T, seed uint64, joinStale bool) (answers, older int) {
 	synctest.Test(t, func(t *testing.T) {
 		store := emulator.NewKVStore()
@@ -155,7 +155,7 @@
 		found += older
 	}
 	if found == 0 {
-		t.Error("callers join the request under way, and no answer is older")
+		t.Error("callers join the request in progress, and no answer is older")
 	}
 }
 
@@ -186,7 +186,7 @@
 				users.Wait()
 				limit := int64(2*time.Second/c.index.interval) + 1
 				if used := c.transport.polls.Load() - before; used > limit || failed.Load() > 0 {
-					t.Errorf("%d requests, at most %d wanted; %d callers refused", used, limit, failed.Load())
+					t.Errorf("%d requests, want at most %d; %d callers refused", used, limit, failed.Load())
 				}
 				stop()
 				goroutines.Wait()
@@ -195,7 +195,7 @@
 	}
 }
 
-// cannedChanges answers each request with the next of its changes.
+// cannedChanges answers each request with the next of its prepared responses.
 type cannedChanges struct{ changes []protocol.WatchResponse }
 
 func (c *cannedChanges) RoundTrip(r *http.Request) (*http.Response, error) {
@@ -221,7 +221,7 @@
 	canned := &cannedChanges{}
 	r := &Replica{Client: NewClientWithTransport(canned, 1000, 1000, 1), Apply: apply, revisions: map[string]uint64{}}
 	if err := r.CatchUp(t.Context()); !errors.Is(err, ErrNotLoaded) {
-		t.Errorf("before it was read: %v", err)
+		t.Errorf("catch-up before the first read: %v", err)
 	}
 	r.loaded = true
 	canned.changes = []protocol.WatchResponse{{Revision: 7, Changes: []protocol.Change{put("r/a", 5), put("r/b", 6), {Delete: "r/a", Revision: 7}}}}
@@ -231,7 +231,7 @@
 	// The watch delivers the same changes later, up to the one before the deletion.
 	r.Apply(r.take(protocol.WatchResponse{Revision: 6, Changes: []protocol.Change{put("r/a", 5), put("r/b", 6)}}))
 	if copied["r/a"] || r.applied != 7 {
-		t.Errorf("a late answer brought back what was deleted: %v at %d", copied, r.applied)
+		t.Errorf("a late answer restored a deleted record: %v at %d", copied, r.applied)
 	}
 	// A lower revision, as after a restore from a backup, is rejected.
 	canned.changes = []protocol.WatchResponse{{Revision: 3}}
--- a/internal/storage/replica_test.go
+++ b/internal/storage/replica_test.go
@@ -81,7 +81,7 @@
 	var revision uint64
 	for _, change := range batch {
 		if change.Revision < revision {
-			t.Error("out of order")
+			t.Error("changes are not in the order of their revisions")
 		}
 		revision = change.Revision
 		if change.Put != "" {
@@ -108,7 +108,7 @@
 	runUntilSynced(t, served, func(batch []protocol.Change) {
 		copied.apply(t, batch)
 		if copied.records[first] != copied.records[last] {
-			t.Errorf("%s beside %s", copied.records[first], copied.records[last])
+			t.Errorf("one batch shows %s and %s of a single transaction", copied.records[first], copied.records[last])
 		}
 	})
 	if copied.batches == 0 || copied.records[first] != `"new"` || copied.records[deleted] != "" || len(copied.records) != 32 {
