--- a/internal/coordination/delegation_writes.go
+++ b/internal/coordination/delegation_writes.go
@@ -20,7 +20,7 @@
 
 const (
 	// delegationRepeatInterval is the time after which an unanswered write is resent, if
-	// the write budget suffices for it beside other writes.
+	// the write budget suffices for it in addition to other writes.
 	delegationRepeatInterval = storage.HedgeInterval
 	// maxQuickRepeats is the maximum number of copies that are sent at
 	// delegationRepeatInterval.
@@ -42,7 +42,7 @@
 }
 
 // nextSendTime returns when the transaction may be resent. hasBudget reports whether
-// the write budget suffices for it beside other writes.
+// the write budget suffices for it in addition to other writes.
 func (s *sentTxn) nextSendTime(hasBudget bool) time.Time {
 	if hasBudget && s.repeats < maxQuickRepeats && s.revision == 0 {
 		return s.lastSentAt.Add(delegationRepeatInterval)
@@ -53,7 +53,7 @@
 // begin records that a transaction is sent now, and returns the state of its copies. It
 // returns nil if the transaction has to wait, because a copy was sent recently, or was
 // executed and is not yet visible in the replicated records. budget is the number of
-// writes available beside other writes.
+// writes available in addition to other writes.
 func (s sentTxns) begin(txn protocol.Txn, budget int, now time.Time) *sentTxn {
 	sent := s[firstKey(txn)]
 	if sent == nil || !slices.Equal(sent.preconditions, txn.Preconditions) {
--- a/internal/coordination/direct_dispatch.go
+++ b/internal/coordination/direct_dispatch.go
@@ -41,7 +41,7 @@
 // directState tracks direct messages to a machine.
 type directState struct {
 	reportedAt time.Time // when its newest heartbeat was received
-	answered   bool      // its worker has confirmed that it received an answer to a heartbeat
+	answered   bool      // a heartbeat contained a fencing token: its worker has received an answer to a heartbeat
 	notBefore  time.Time // backoff: no direct message before then
 	failures   int       // consecutive unanswered messages
 }
@@ -87,7 +87,7 @@
 		s := n.shards[i]
 		for _, m := range s.sortedMachines() {
 			if n.records.DelegatedMachines[i][m.lease.Machine] {
-				continue // its heartbeats go to a proxy, or soon will: see acknowledgeable
+				continue // its heartbeats are sent to a proxy, or soon will be: see acknowledgeableMachines
 			}
 			target, ok := m.directTarget(now)
 			if !ok {
--- a/internal/coordination/machine.go
+++ b/internal/coordination/machine.go
@@ -116,12 +116,11 @@
 	return m
 }
 
-// isReconciled reports whether all that runs on the machine is known: only
-// then does a task that its worker does not list count as absent.
+// isReconciled reports whether the holder has a complete list of what runs on the
+// machine: only then does a task that its worker does not list count as absent.
 func (m *machine) isReconciled() bool { return m.state != machineUnreconciled }
 
-// isExpired reports whether the worker has been silent for so long that its
-// tasks have ended.
+// isExpired reports whether the machine is expired: all its tasks have ended.
 func (m *machine) isExpired() bool { return m.state == machineExpired }
 
 // markReconciled records that the worker has received this holder's fencing token.
@@ -131,7 +130,7 @@
 	}
 }
 
-// markReturned records a heartbeat of a machine that had expired: it is back,
+// markReturned records a heartbeat of a machine that had expired: it has returned
 // without tasks.
 func (m *machine) markReturned(now time.Time) {
 	m.state = machineReconciled
--- a/internal/coordination/reconcile.go
+++ b/internal/coordination/reconcile.go
@@ -28,8 +28,8 @@
 		s.dropSentAttempts(m)
 	}
 	if m.isExpired() && sameSession {
-		// By this controller's clock the worker's lease has expired, and the
-		// worker has not noticed yet. It will before it can apply an answer.
+		// By this controller's clock the worker's lease has expired, but the
+		// worker has not detected that yet. It does before it can apply an answer.
 		return false
 	}
 	m.address, m.direct.reportedAt = report.Address, now
@@ -38,8 +38,8 @@
 		m.direct.answered = true
 	}
 	if sequence == dispatch.Overtaken {
-		// A newer answer to a direct message already reported what it lists.
-		// The worker still waits for commands.
+		// A newer answer to a direct message already reported the tasks
+		// that it lists. The worker still waits for commands.
 		return true
 	}
 	if firstHeartbeat || m.isExpired() {
