--- a/internal/coordination/delegations.go
+++ b/internal/coordination/delegations.go
@@ -14,7 +14,7 @@
 )
 
 // A heartbeat proxy writes delegations, which list the machines of another holder's shard
-// that it wants to answer. The holder's side is in delegation_acks.go, the answers are in
+// that it requests to answer. The holder's side is in delegation_acks.go, the answers are in
 // heartbeat_proxy.go.
 
 const (
--- a/internal/coordination/direct_dispatch.go
+++ b/internal/coordination/direct_dispatch.go
@@ -26,9 +26,9 @@
 type DirectOutcome uint8
 
 const (
-	// DirectUnanswered leaves it open: the message may have been carried out,
-	// or may still be. It is the zero value, so an outcome that was not set
-	// claims nothing.
+	// DirectUnanswered is an unknown outcome: the message may have been carried
+	// out, or may still be. It is the zero value, so an outcome that was not
+	// set implies nothing.
 	DirectUnanswered DirectOutcome = iota
 	DirectUnsent                   // not sent: no connection was made
 	DirectDone                     // carried out
--- a/internal/coordination/grant_builder.go
+++ b/internal/coordination/grant_builder.go
@@ -14,7 +14,7 @@
 
 // grantBuilder collects the changes of one grant transaction and keeps it
 // within the store's limits on operations, value size and total size. What
-// does not fit is left to the next transaction or goes to another shard; a
+// does not fit is left to the next transaction or granted to another shard; a
 // write that could never succeed is not made.
 type grantBuilder struct {
 	node        *Node // read only, except for the cached sizes of chunks
--- a/internal/coordination/machine.go
+++ b/internal/coordination/machine.go
@@ -85,7 +85,7 @@
 
 	// Its condition, see above.
 	state             machineState
-	health            failuredetector.State // whether the failure detector lets it have new tasks
+	health            failuredetector.State // whether the failure detector permits new tasks on it
 	removed           bool                  // the cloud's list shows that it no longer exists
 	cordoned          bool                  // gets no tasks and is to be replaced
 	slow              bool                  // its tasks take much longer than others of the same jobs
--- a/internal/coordination/scale_in.go
+++ b/internal/coordination/scale_in.go
@@ -68,7 +68,7 @@
 	// kept, as multiples of the lease duration of their workers.
 	silentLeaseTimeouts = 2
 	cutOffLeaseTimeouts = 6
-	// maxApplyDelay is how long a holder waits for a committed write to show in its
+	// maxApplyDelay is how long a holder waits for a committed write to appear in its
 	// copy of the records.
 	maxApplyDelay = time.Second
 	// grantWriteInterval is the minimum interval between writes of a shard's grant.
@@ -118,7 +118,7 @@
 }
 
 // mayReduceGrant reports whether a shard's grant may be written now. The last successful
-// write has to show in the local copy first: another write before would fail. And changes
+// write has to appear in the local copy first: another write before would fail. And changes
 // are batched: with hundreds of machines some could be released continually, and the
 // writes of job records share the same budget.
 func (n *Node) mayReduceGrant(s *shard, now time.Time) bool {
--- a/internal/coordination/status_exchange.go
+++ b/internal/coordination/status_exchange.go
@@ -39,7 +39,8 @@
 	Running      map[string]int               `cbor:"Running"`
 	// Startable is the part of Desired that the shard has machines for, by team, where
 	// that is less than Desired. SpareCapacity is free capacity that none of the shard's
-	// own tasks can use. Both are sent once every controller runs a version that supports them.
+	// own tasks can use. Both are sent once every controller runs a version that supports
+	// them.
 	Startable     map[string]storage.Resources `cbor:"Startable,omitempty"`
 	SpareCapacity []spareCapacity              `cbor:"Room,omitempty"`
 }
