--- a/internal/coordination/machine_inventory.go
+++ b/internal/coordination/machine_inventory.go
@@ -178,8 +178,8 @@
 
 // addUnlistedGranted adds granted machines that are missing from a list
 // although it describes a later time than their grants. A machine was up when
-// it was granted, so these no longer exist. So a new leader, and with it
-// a new holder, need not wait for the worker's lease to expire.
+// it was granted, so these no longer exist. A new leader, and with it a new holder,
+// therefore need not wait for the worker's lease to expire.
 func (n *Node) addUnlistedGranted(leadership *leadership, list machineList, now time.Time) {
 	// Grant times come from other controllers' clocks.
 	maxClockError := 2 * int64(n.settings.Deployment.ClockErrorMS)
