--- a/internal/coordination/direct_dispatch.go
+++ b/internal/coordination/direct_dispatch.go
@@ -22,13 +22,13 @@
 	Report  *protocol.Heartbeat // the worker's state after the commands, if it answered
 }
 
-// DirectOutcome says whether a direct message was carried out.
+// DirectOutcome is the outcome of a direct message: whether it was carried out.
 type DirectOutcome uint8
 
 const (
-	// DirectUnanswered leaves it open: the message may have been carried out,
-	// or may still be. It is the zero value, so an outcome that was not set
-	// claims nothing.
+	// DirectUnanswered is an unknown outcome: the message may have been carried
+	// out, or may still be. It is the zero value, so an outcome that was not
+	// set implies nothing.
 	DirectUnanswered DirectOutcome = iota
 	DirectUnsent                   // not sent: no connection was made
 	DirectDone                     // carried out
@@ -41,7 +41,7 @@
 // directState tracks direct messages to a machine.
 type directState struct {
 	reportedAt time.Time // when its newest heartbeat was received
-	answered   bool      // its worker is known to have received an answer to a heartbeat
+	answered   bool      // a heartbeat contained a fencing token: its worker has received an answer to a heartbeat
 	notBefore  time.Time // backoff: no direct message before then
 	failures   int       // consecutive unanswered messages
 }
@@ -87,7 +87,7 @@
 		s := n.shards[i]
 		for _, m := range s.sortedMachines() {
 			if n.records.DelegatedMachines[i][m.lease.Machine] {
-				continue // its heartbeats go to a proxy, or soon will: see acknowledgeable
+				continue // its heartbeats are sent to a proxy, or soon will be: see acknowledgeableMachines
 			}
 			target, ok := m.directTarget(now)
 			if !ok {
@@ -171,7 +171,7 @@
 }
 
 // buildMessage builds a direct message with stops and starts. It never
-// contains a clear: a late clear would make the worker forget an attempt whose
+// contains a clear: a late clear would make the worker drop an attempt whose
 // start may arrive again.
 func (t directTarget) buildMessage(now time.Time) directMessage {
 	s, m := t.shard, t.machine
--- a/internal/coordination/golden_test.go
+++ b/internal/coordination/golden_test.go
@@ -62,7 +62,7 @@
 	}
 }
 
-// A status of the previous version, which lacks the startable tasks and the room of
+// A status of the previous version, which lacks the startable tasks and the spare capacity of
 // shards, decodes as before, and one without such values is encoded as that version did.
 func TestStatusOfFormerVersion(t *testing.T) {
 	raw, err := os.ReadFile("testdata/status.former.golden")
@@ -80,7 +80,7 @@
 			t.Fatal(err)
 		}
 		for _, shard := range status.Shards {
-			if shard.Startable != nil || shard.Room != nil || shard.quotaClaim("red").Startable != nil {
+			if shard.Startable != nil || shard.SpareCapacity != nil || shard.quotaClaim("red").Startable != nil {
 				t.Errorf("%s: decoded as %+v", name, shard)
 			}
 		}
--- a/internal/coordination/machine_inventory.go
+++ b/internal/coordination/machine_inventory.go
@@ -68,9 +68,9 @@
 	}
 }
 
-// forget removes a machine that is released or no longer exists. Its ID is
-// remembered, since late heartbeats and lists may still contain it.
-func (l *leadership) forget(id string) {
+// dropMachine removes a machine that is released or no longer exists. Its ID is
+// kept in released, since late heartbeats and lists may still contain it.
+func (l *leadership) dropMachine(id string) {
 	l.released[id] = true
 	delete(l.machines, id)
 	l.removeBooting(func(booting *bootingMachine) bool { return booting.id == id })
@@ -178,8 +178,8 @@
 
 // addUnlistedGranted adds granted machines that are missing from a list
 // although it describes a later time than their grants. A machine was up when
-// it was granted, so these no longer exist. This spares a new leader, and with
-// it a new holder, waiting for the worker's lease to expire.
+// it was granted, so these no longer exist. A new leader, and with it a new holder,
+// therefore need not wait for the worker's lease to expire.
 func (n *Node) addUnlistedGranted(leadership *leadership, list machineList, now time.Time) {
 	// Grant times come from other controllers' clocks.
 	maxClockError := 2 * int64(n.settings.Deployment.ClockErrorMS)
@@ -206,14 +206,14 @@
 
 // findRemoved finds machines that the list shows as failed, or that no longer
 // exist. Those that a shard has are reported to its holder; others that no
-// longer exist are forgotten.
+// longer exist are removed.
 func (l *leadership) findRemoved(list machineList, shardOfMachine map[string]int) {
 	l.failed = map[string]bool{}
 	for id, machine := range l.machines {
 		removed := list.showsRemoved(machine)
 		_, granted := shardOfMachine[id]
 		if removed && !granted {
-			l.forget(id)
+			l.dropMachine(id)
 		} else if granted && (removed || machine.status == machineFailed) {
 			l.failed[id] = true
 		}
--- a/internal/coordination/migration_to_room.go
+++ b/internal/coordination/migration_to_room.go
@@ -96,7 +96,7 @@
 		}
 	}
 	for status := range n.recentRemoteShards(now) {
-		add(status.Index, status.Room)
+		add(status.Index, status.SpareCapacity)
 	}
 	return targets
 }
@@ -124,11 +124,11 @@
 		targetShard, reason := targets.selectTarget(j)
 		switch {
 		case !j.isDraining() && reason == noStayReason:
-			j.leavingUntil = now.Add(maxDrainTime)
+			j.drainUntil = now.Add(maxDrainTime)
 			slog.Info("job leaving for room in another shard", "job", j.id, "from_shard", s.index, "to_shard", targetShard, "running", len(j.attempts))
 		case j.isDraining() && reason != noStayReason:
 			j.cancelDraining(reason, now)
-		case j.isDraining() && now.After(j.leavingUntil):
+		case j.isDraining() && now.After(j.drainUntil):
 			j.cancelDraining(stayDrainTimeout, now)
 		}
 	}
@@ -139,7 +139,7 @@
 
 const (
 	noStayReason            stayReason = ""              // none: the job migrates
-	stayGang                stayReason = "gang"          // it is not known whether all tasks of the gang fit elsewhere
+	stayGang                stayReason = "gang"          // statuses do not show whether all tasks of the gang fit elsewhere
 	stayNoCapacityElsewhere stayReason = "no room"       // no other shard has capacity for it
 	stayOwnCapacity         stayReason = "own room"      // its own shard has capacity for as many of its tasks
 	stayTeamAtLimit         stayReason = "team at limit" // no shard may start more of the team's tasks
@@ -149,12 +149,12 @@
 // cancelDraining ends the draining of the job, whose waiting time starts anew.
 func (j *job) cancelDraining(reason stayReason, now time.Time) {
 	slog.Debug("job stays", "job", j.id, "reason", reason, "running", len(j.attempts))
-	j.leavingUntil, j.unplacedSince = time.Time{}, now
+	j.drainUntil, j.unplacedSince = time.Time{}, now
 }
 
 // isDraining reports whether no more tasks of the job are placed in this shard, so
 // that it can migrate once its attempts have ended.
-func (j *job) isDraining() bool { return !j.leavingUntil.IsZero() }
+func (j *job) isDraining() bool { return !j.drainUntil.IsZero() }
 
 // canStartDraining reports whether a job with running tasks has waited for long
 // enough to be drained, and its attempts are expected to end within the draining
@@ -200,12 +200,12 @@
 }
 
 // sourceHasCapacity reports whether a job's own shard has capacity for it, so that
-// it only waits for a share of its team's quota, or not for long.
+// it waits only for a share of its team's quota, or only briefly.
 //
 // A draining job gets none of that capacity, and its own tasks free some as they
 // end. It stays only if its shard can place as many of its pending tasks as the
 // capacity elsewhere could: otherwise the first task that ends would cancel the
-// draining, and so would each task that is placed in its place.
+// draining, and so would each task placed on the capacity that it freed.
 func (r *migrationTargets) sourceHasCapacity(j *job, elsewhere []spareCapacity) bool {
 	if j.isDraining() {
 		wanted := min(j.pendingTasks(), j.countFittingTasks(elsewhere))
@@ -214,8 +214,8 @@
 	if j.waitReason == waitsForMachine {
 		return false // the last plan found no machine on which it may place one of the tasks
 	}
-	_, hasRoom := j.mostFreeCores(r.source.spareCapacity)
-	return hasRoom
+	_, fits := j.mostFreeCores(r.source.spareCapacity)
+	return fits
 }
 
 // countPlaceableTasks counts the pending tasks of a job that fit on the shard's
--- a/internal/coordination/reconcile.go
+++ b/internal/coordination/reconcile.go
@@ -8,7 +8,7 @@
 	"reedtrack/internal/protocol"
 )
 
-// Reconciliation works in both directions. A heartbeat tells what is on a machine,
+// Reconciliation works in both directions. A heartbeat lists what is on a machine,
 // and this holder's view is updated to match. The answer carries the commands that
 // make the machine match the plan. Neither relies on the delivery of the other:
 // each heartbeat lists everything, and a command is sent again until a heartbeat
@@ -28,8 +28,8 @@
 		s.dropSentAttempts(m)
 	}
 	if m.isExpired() && sameSession {
-		// By this controller's clock the worker's lease has expired, and the
-		// worker has not noticed yet. It will before it can apply an answer.
+		// By this controller's clock the worker's lease has expired, but the
+		// worker has not detected that yet. It does before it can apply an answer.
 		return false
 	}
 	m.address, m.direct.reportedAt = report.Address, now
@@ -38,8 +38,8 @@
 		m.direct.answered = true
 	}
 	if sequence == dispatch.Overtaken {
-		// A newer answer to a direct message already reported what it lists.
-		// The worker still waits for commands.
+		// A newer answer to a direct message already reported the tasks
+		// that it lists. The worker still waits for commands.
 		return true
 	}
 	if firstHeartbeat || m.isExpired() {
@@ -204,7 +204,7 @@
 	return commands
 }
 
-// clearCommands returns the commands that make the worker forget ended tasks.
+// clearCommands returns the commands that make the worker delete ended tasks.
 // It returns an empty list rather than nil, since the encoding of the answer
 // differs.
 func (s *shard) clearCommands(m *machine) []protocol.Command {
--- a/internal/storage/rate_budget_test.go
+++ b/internal/storage/rate_budget_test.go
@@ -20,9 +20,9 @@
 func TestWriteBudgetFollowsLeadership(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := NewClientWithTransport(nil, 1000, 60, 7)
-		// One of nine shares of 54 is 6, and a process begins with half of it.
+		// One of nine shares of 54 is 6, and a process starts with half of it.
 		if got := c.AvailableWrites(); got != 3 {
-			t.Errorf("%d writes available at first, want 3", got)
+			t.Errorf("%d writes available initially, want 3", got)
 		}
 		time.Sleep(time.Second)
 		if got := c.AvailableWrites(); got != 6 {
@@ -33,7 +33,7 @@
 		time.Sleep(700 * time.Millisecond) // at 18 a second
 		saved := c.AvailableWrites()
 		if saved < 15 {
-			t.Errorf("%d writes saved up as leader, want at least 15", saved)
+			t.Errorf("%d writes accumulated as leader, want at least 15", saved)
 		}
 		for range 3 {
 			c.SetLeading(true, 60, 7)
@@ -49,10 +49,10 @@
 	})
 }
 
-// accepting answers every request with an empty object.
-type accepting struct{}
+// emptyObjectTransport answers every request with an empty object.
+type emptyObjectTransport struct{}
 
-func (accepting) RoundTrip(*http.Request) (*http.Response, error) {
+func (emptyObjectTransport) RoundTrip(*http.Request) (*http.Response, error) {
 	return &http.Response{StatusCode: http.StatusOK, Body: io.NopCloser(bytes.NewReader([]byte("{}")))}, nil
 }
 
@@ -75,7 +75,7 @@
 func TestRefusedWritesCostNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const seconds = 60
-		c := NewClientWithTransport(accepting{}, 1000, 60, 7) // 6 writes a second, 6 at once
+		c := NewClientWithTransport(emptyObjectTransport{}, 1000, 60, 7) // 6 writes a second, 6 at once
 		var written, refused atomic.Int64
 		var wg sync.WaitGroup
 		repeatUntil(&wg, time.Now().Add(seconds*time.Second), 40, 250*time.Millisecond, func() {
@@ -102,7 +102,7 @@
 func TestReadsLeaveRoomForWrites(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const seconds = 30
-		c := NewClientWithTransport(accepting{}, 100, 60, 7) // 10 requests and 6 writes a second
+		c := NewClientWithTransport(emptyObjectTransport{}, 100, 60, 7) // 10 requests and 6 writes a second
 		var read, refused, written atomic.Int64
 		var wg sync.WaitGroup
 		deadline := time.Now().Add(seconds * time.Second)
@@ -138,7 +138,7 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		cancel()
 		var err error
-		for range 10 { // more than the burst that a process begins with
+		for range 10 { // more than the burst that a process starts with
 			err = b.await(ctx, reservation{maxWait: time.Minute})
 		}
 		if !errors.Is(err, ErrRefused) || errors.Is(err, ErrBudgetExhausted) {
