--- a/cmd/outputs/serve.go
+++ b/cmd/outputs/serve.go
@@ -41,7 +41,7 @@
 		if err != nil {
 			return c, err
 		}
-		c.KeyValueStore, c.StatePollInterval = daemon.NewStateClient(platform, outputs.StateShare)
+		c.KeyValueStore, c.WatchPause = daemon.NewKeyValueStoreClient(platform, outputs.StateShare)
 	}
 	return c, c.Check()
 }
--- a/internal/outputs/access/certificate.go
+++ b/internal/outputs/access/certificate.go
@@ -25,11 +25,11 @@
 	KeyFile  string
 	Now      func() time.Time // time.Now but in tests
 
-	mu          sync.Mutex
-	cert        *tls.Certificate
-	files       keyPairFiles // as they were when cert was loaded
-	checkedAt   time.Time
-	lastRefusal string // logged once; empty when the files were good
+	mu            sync.Mutex
+	cert          *tls.Certificate
+	files         keyPairFiles // as they were when cert was loaded
+	checkedAt     time.Time
+	lastLoadError string // logged once; empty when the files were good
 }
 
 // LoadCertificate loads a certificate and its key.
@@ -87,13 +87,13 @@
 	}
 	cert, err := r.load()
 	if err != nil {
-		if err.Error() != r.lastRefusal {
-			r.lastRefusal = err.Error()
+		if err.Error() != r.lastLoadError {
+			r.lastLoadError = err.Error()
 			slog.Error("new certificate refused, previous one kept", "err", err)
 		}
 		return
 	}
-	r.cert, r.files, r.lastRefusal = cert, files, ""
+	r.cert, r.files, r.lastLoadError = cert, files, ""
 	slog.Info("certificate reloaded", "file", r.CertFile, "expires", cert.Leaf.NotAfter.Format(time.DateTime))
 }
 
--- a/internal/outputs/access/httpclient.go
+++ b/internal/outputs/access/httpclient.go
@@ -20,8 +20,8 @@
 	connectTimeout = 3 * time.Second
 	// idleConnTimeout is when unused connections are closed; as in net/http.
 	idleConnTimeout = 90 * time.Second
-	// busyHosts is how many stores a client is expected to keep connections to.
-	busyHosts = 4
+	// expectedHosts is how many stores a client is expected to keep connections to.
+	expectedHosts = 4
 )
 
 // NewHTTPClient returns an HTTP client that trusts the authorities in a CA file,
@@ -30,7 +30,7 @@
 func NewHTTPClient(caFile string, idleConnsPerHost int) (*http.Client, error) {
 	transport := &http.Transport{
 		MaxIdleConnsPerHost: idleConnsPerHost,
-		MaxIdleConns:        busyHosts * idleConnsPerHost,
+		MaxIdleConns:        expectedHosts * idleConnsPerHost,
 		IdleConnTimeout:     idleConnTimeout,
 		ForceAttemptHTTP2:   true,
 		DialContext:         (&net.Dialer{Timeout: connectTimeout}).DialContext,
@@ -40,7 +40,7 @@
 	if caFile == "" {
 		return &http.Client{Transport: transport}, nil
 	}
-	authorities := &caFilePool{file: caFile}
+	authorities := &reloadingCertPool{file: caFile}
 	if _, err := authorities.load(); err != nil {
 		return nil, err
 	}
@@ -53,7 +53,7 @@
 // authorities may change, and Go's own check takes those of the beginning.
 type tlsDialer struct {
 	dial        func(ctx context.Context, network, addr string) (net.Conn, error)
-	authorities *caFilePool
+	authorities *reloadingCertPool
 }
 
 func (d *tlsDialer) dialTLS(ctx context.Context, network, addr string) (net.Conn, error) {
@@ -88,9 +88,9 @@
 	}
 }
 
-// caFilePool holds the authorities of a CA file, and loads them again when the
+// reloadingCertPool holds the authorities of a CA file, and loads them again when the
 // file changes. When it then can't be used, the ones before stay.
-type caFilePool struct {
+type reloadingCertPool struct {
 	file string
 
 	mu     sync.Mutex
@@ -98,7 +98,7 @@
 	pool   *x509.CertPool
 }
 
-func (p *caFilePool) load() (*x509.CertPool, error) {
+func (p *reloadingCertPool) load() (*x509.CertPool, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	info, err := os.Stat(p.file)
@@ -129,7 +129,7 @@
 }
 
 // verify checks the certificates that a host has shown.
-func (p *caFilePool) verify(host string, state tls.ConnectionState) error {
+func (p *reloadingCertPool) verify(host string, state tls.ConnectionState) error {
 	pool, err := p.load()
 	if err != nil {
 		return err
@@ -139,11 +139,11 @@
 		options.Intermediates.AddCert(cert)
 	}
 	_, err = state.PeerCertificates[0].Verify(options)
-	return explainVerification(host, err)
+	return describeVerifyError(host, err)
 }
 
-// explainVerification says in an operator's terms why a certificate was refused.
-func explainVerification(host string, err error) error {
+// describeVerifyError says in an operator's terms why a certificate was refused.
+func describeVerifyError(host string, err error) error {
 	var invalid x509.CertificateInvalidError
 	var unknownAuthority x509.UnknownAuthorityError
 	var wrongHost x509.HostnameError
--- a/internal/outputs/access/token.go
+++ b/internal/outputs/access/token.go
@@ -17,8 +17,8 @@
 	secretPrefix = "rt_"
 	// secretBytes is the randomness of a token: more than can be guessed.
 	secretBytes = 24
-	// sharedPermissions are those that a file with a secret must not have.
-	sharedPermissions = 0o077
+	// forbiddenPermissions are those that a file with a secret must not have.
+	forbiddenPermissions = 0o077
 )
 
 // Role is what a token is for.
@@ -72,7 +72,7 @@
 	if t.IsDisabled() {
 		return Caller{Unrestricted: true}, nil
 	}
-	secret := secretOf(header)
+	secret := secretFromHeader(header)
 	if secret == "" {
 		return Caller{}, ErrNoToken
 	}
@@ -83,8 +83,8 @@
 	return Caller{Team: token.Team, Role: token.Role}, nil
 }
 
-// secretOf returns the token in a header, or nothing.
-func secretOf(header http.Header) string {
+// secretFromHeader returns the token in a header, or nothing.
+func secretFromHeader(header http.Header) string {
 	scheme, credentials, _ := strings.Cut(header.Get("Authorization"), " ")
 	credentials = strings.TrimSpace(credentials)
 	switch strings.ToLower(scheme) {
@@ -116,7 +116,7 @@
 	if err != nil {
 		return "", err
 	}
-	if info.Mode().Perm()&sharedPermissions != 0 {
+	if info.Mode().Perm()&forbiddenPermissions != 0 {
 		return "", fmt.Errorf("%s: others may read it; chmod 600", path)
 	}
 	raw, err := os.ReadFile(path)
--- a/internal/outputs/cluster/digest.go
+++ b/internal/outputs/cluster/digest.go
@@ -16,8 +16,8 @@
 // narrow a difference down to fewer attempts, at 8 bytes a bucket.
 const DigestBuckets = 1024
 
-// maxListed bounds the attempts in one answer and in one request to a peer.
-const maxListed = 1000
+// maxAttemptsPerMessage bounds the attempts in one answer and in one request to a peer.
+const maxAttemptsPerMessage = 1000
 
 // digestSet is what this member holds, summed up for every other member by its name.
 type digestSet struct {
@@ -28,8 +28,8 @@
 	surplus         map[string]uint64   // attempts that only the other should hold
 }
 
-// digestCacheAge is when digests for a view that is no longer asked for go.
-const digestCacheAge = time.Minute
+// digestCacheTTL is when digests for a view that is no longer asked for go.
+const digestCacheTTL = time.Minute
 
 // digestsFor sums up what this member holds, for all others in one pass over the
 // store. A result is used for ten times as long as it took to compute, so that
@@ -56,7 +56,7 @@
 		return true
 	})
 	for other, old := range n.digestCache {
-		if time.Since(old.computedAt) > digestCacheAge {
+		if time.Since(old.computedAt) > digestCacheTTL {
 			delete(n.digestCache, other)
 		}
 	}
@@ -116,7 +116,7 @@
 		if !slices.Contains(replicas, owner) || slices.Contains(replicas, self) == q.Surplus {
 			return true
 		}
-		if len(keys) == maxListed {
+		if len(keys) == maxAttemptsPerMessage {
 			answer.More = true
 			return false
 		}
--- a/internal/outputs/cluster/limits.go
+++ b/internal/outputs/cluster/limits.go
@@ -29,11 +29,11 @@
 func (e *LimitError) Error() string { return e.Reason }
 
 const (
-	// rateIdle is when a rate that nobody uses is forgotten. Its bucket refills
+	// bucketIdleTimeout is when a rate that nobody uses is forgotten. Its bucket refills
 	// within two seconds, so forgetting it gives nothing away.
-	rateIdle = 2 * time.Minute
-	// rateSweepInterval is the time between two searches for idle rates.
-	rateSweepInterval = time.Minute
+	bucketIdleTimeout = 2 * time.Minute
+	// bucketSweepInterval is the time between two searches for idle rates.
+	bucketSweepInterval = time.Minute
 	// minBurst is at least one block with its fields, however small the rate.
 	minBurst = 2 << 20
 	// attemptSlackBytes may follow an attempt's limit, since its writer keeps the
@@ -45,17 +45,17 @@
 type limiter struct {
 	limits  Limits
 	mu      sync.Mutex
-	rates   map[string]*trackedRate
+	buckets map[string]*tokenBucket
 	sweptAt time.Time
 }
 
-type trackedRate struct {
+type tokenBucket struct {
 	limiter *rate.Limiter
 	usedAt  time.Time
 }
 
 func newLimiter(l Limits) *limiter {
-	return &limiter{limits: l, rates: map[string]*trackedRate{}}
+	return &limiter{limits: l, buckets: map[string]*tokenBucket{}}
 }
 
 // reserve takes bytes from a token bucket, or returns a [LimitError]. A request that
@@ -68,11 +68,11 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.sweep(now)
-	tracked := l.rates[key]
+	tracked := l.buckets[key]
 	if tracked == nil {
 		burst := int(max(2*bytesPerSecond, minBurst))
-		tracked = &trackedRate{limiter: rate.NewLimiter(rate.Limit(bytesPerSecond), burst)}
-		l.rates[key] = tracked
+		tracked = &tokenBucket{limiter: rate.NewLimiter(rate.Limit(bytesPerSecond), burst)}
+		l.buckets[key] = tracked
 	}
 	tracked.usedAt = now
 	r := tracked.limiter.ReserveN(now, min(bytes, tracked.limiter.Burst()))
@@ -86,13 +86,13 @@
 
 // sweep forgets idle rates. The caller holds mu.
 func (l *limiter) sweep(now time.Time) {
-	if now.Sub(l.sweptAt) <= rateSweepInterval {
+	if now.Sub(l.sweptAt) <= bucketSweepInterval {
 		return
 	}
 	l.sweptAt = now
-	for key, tracked := range l.rates {
-		if now.Sub(tracked.usedAt) > rateIdle {
-			delete(l.rates, key)
+	for key, tracked := range l.buckets {
+		if now.Sub(tracked.usedAt) > bucketIdleTimeout {
+			delete(l.buckets, key)
 		}
 	}
 }
--- a/internal/outputs/cluster/list.go
+++ b/internal/outputs/cluster/list.go
@@ -14,8 +14,8 @@
 )
 
 const (
-	defaultListLimit = 100       // attempts on a page for a reader who does not say
-	maxListLimit     = maxListed // whatever a reader says
+	defaultListLimit = 100                   // attempts on a page for a reader who does not say
+	maxListLimit     = maxAttemptsPerMessage // whatever a reader says
 )
 
 // List lists attempts of a job over all members, by key. Members that did not answer
--- a/internal/outputs/cluster/overreplicated.go
+++ b/internal/outputs/cluster/overreplicated.go
@@ -23,9 +23,9 @@
 // below Options.PinDuration, which is a minute by default.
 const confirmationValidity = 10 * time.Second
 
-// openAttemptIdle is how long nothing may have come for an open attempt before its
+// openAttemptIdleTimeout is how long nothing may have come for an open attempt before its
 // replica counts as surplus: its writer may still be sending here.
-const openAttemptIdle = 10 * time.Minute
+const openAttemptIdleTimeout = 10 * time.Minute
 
 // dropOverReplicated drops the replicas that this member should not hold and the
 // others do.
@@ -35,7 +35,7 @@
 		return
 	}
 	dropped := 0
-	for page := range slices.Chunk(n.surplusKeys(v), maxListed) {
+	for page := range slices.Chunk(n.overReplicatedKeys(v), maxAttemptsPerMessage) {
 		if ctx.Err() == nil {
 			dropped += n.dropConfirmed(ctx, v, page)
 		}
@@ -45,8 +45,8 @@
 	}
 }
 
-// surplusKeys lists the attempts that this member holds and should not.
-func (n *Node) surplusKeys(v *View) [][]byte {
+// overReplicatedKeys lists the attempts that this member holds and should not.
+func (n *Node) overReplicatedKeys(v *View) [][]byte {
 	self := v.Index(n.membership.Self.Name)
 	now := time.Now()
 	var keys [][]byte
@@ -54,7 +54,7 @@
 		if slices.Contains(v.Replicas(outputs.Route(key), n.options.ReplicationFactor), self) {
 			return true
 		}
-		if !state.Sealed && now.UnixNano()-state.TouchedNs < int64(openAttemptIdle) {
+		if !state.Sealed && now.UnixNano()-state.TouchedNs < int64(openAttemptIdleTimeout) {
 			return true
 		}
 		keys = append(keys, key)
--- a/internal/outputs/cluster/read.go
+++ b/internal/outputs/cluster/read.go
@@ -11,9 +11,9 @@
 )
 
 const (
-	// unreachablePatience is how long a reader waits for members that may come back
+	// unreachableTimeout is how long a reader waits for members that may come back
 	// before it reports records as missing.
-	unreachablePatience = 3 * time.Second
+	unreachableTimeout = 3 * time.Second
 	// replicaRetryWait is when a replica that broke off may be read again.
 	replicaRetryWait = time.Second
 	// replicaPollInterval is the time between two looks at the replicas while none
@@ -37,12 +37,12 @@
 
 	// skipBytes are left out at the beginning of the first record.
 	skipBytes int
-	// stuckSince is since when no replica has had the next record; zero: one has.
-	stuckSince time.Time
+	// stalledSince is since when no replica has had the next record; zero: one has.
+	stalledSince time.Time
 }
 
-// errReaderGone says that the reader took no more.
-var errReaderGone = errors.New("the reader has gone")
+// errReaderDisconnected says that the reader took no more.
+var errReaderDisconnected = errors.New("the reader has gone")
 
 // Read gives an attempt's records to emit, in order and each once. It ends where the
 // records end, or with Follow at the seal. Records that no member can give are
@@ -90,13 +90,13 @@
 			return err
 		}
 		if progressed {
-			r.stuckSince = time.Time{}
+			r.stalledSince = time.Time{}
 			continue
 		}
 		if ctx.Err() != nil {
 			return ctx.Err()
 		}
-		skipped, done, err := r.handleStuck(list, unreachable, records, sealed)
+		skipped, done, err := r.handleStall(list, unreachable, records, sealed)
 		if err != nil || done {
 			return err
 		}
@@ -119,13 +119,13 @@
 // readNext reads from the replica that has the next record, and reports whether that
 // got any further. An error ends the read.
 func (r *attemptReader) readNext(ctx context.Context, list []replica, sealed bool) (progressed bool, err error) {
-	source, ok := r.pickReplica(list)
+	source, ok := r.selectReplica(list)
 	if !ok {
 		return false, nil
 	}
 	before := r.next
 	if err := r.readFrom(ctx, source, sealed); err != nil {
-		if ctx.Err() != nil || errors.Is(err, errReaderGone) {
+		if ctx.Err() != nil || errors.Is(err, errReaderDisconnected) {
 			return false, err
 		}
 		r.failedAt[source.member.Name] = time.Now()
@@ -140,13 +140,13 @@
 	return r.next > before, nil
 }
 
-// handleStuck decides what to do when no replica has given the next record: skip a
+// handleStall decides what to do when no replica has given the next record: skip a
 // hole, end the read, or (neither) wait and look again.
-func (r *attemptReader) handleStuck(list []replica, unreachable []string, records uint64, sealed bool) (skipped, done bool, err error) {
-	if r.stuckSince.IsZero() {
-		r.stuckSince = time.Now()
+func (r *attemptReader) handleStall(list []replica, unreachable []string, records uint64, sealed bool) (skipped, done bool, err error) {
+	if r.stalledSince.IsZero() {
+		r.stalledSince = time.Now()
 	}
-	waitedEnough := time.Since(r.stuckSince) > unreachablePatience
+	waitedEnough := time.Since(r.stalledSince) > unreachableTimeout
 	allAnswered := len(unreachable) == 0 && len(r.failedAt) == 0
 	available, more := r.nextAvailable(list)
 	switch {
@@ -155,7 +155,7 @@
 		if err := r.sendHole(max(available, r.next+1)); err != nil {
 			return false, false, err
 		}
-		r.stuckSince = time.Time{}
+		r.stalledSince = time.Time{}
 		return true, false, nil
 	case sealed && !more && (allAnswered || waitedEnough):
 		return true, false, r.sendHole(records)
@@ -168,11 +168,11 @@
 	return false, false, nil
 }
 
-// pickReplica chooses a replica that has the next record, or with Follow one at which
+// selectReplica chooses a replica that has the next record, or with Follow one at which
 // to wait for it.
-func (r *attemptReader) pickReplica(list []replica) (replica, bool) {
+func (r *attemptReader) selectReplica(list []replica) (replica, bool) {
 	for _, c := range list {
-		if r.mayRead(c) && outputs.Spans(c.held.Spans).RunEnd(r.next) > r.next {
+		if r.isReadable(c) && outputs.Spans(c.held.Spans).RunEnd(r.next) > r.next {
 			return c, true
 		}
 	}
@@ -180,15 +180,15 @@
 		return replica{}, false
 	}
 	for _, c := range list {
-		if r.mayRead(c) && !c.held.Summary.Sealed && outputs.Spans(c.held.Spans).End() <= r.next {
+		if r.isReadable(c) && !c.held.Summary.Sealed && outputs.Spans(c.held.Spans).End() <= r.next {
 			return c, true
 		}
 	}
 	return replica{}, false
 }
 
-// mayRead reports whether a replica has not broken off just now.
-func (r *attemptReader) mayRead(c replica) bool {
+// isReadable reports whether a replica has not broken off just now.
+func (r *attemptReader) isReadable(c replica) bool {
 	at, failed := r.failedAt[c.member.Name]
 	return !failed || time.Since(at) > replicaRetryWait
 }
@@ -226,7 +226,7 @@
 
 func (r *attemptReader) send(m *pb.ReadResponse) error {
 	if err := r.emit(m); err != nil {
-		return errors.Join(errReaderGone, err)
+		return errors.Join(errReaderDisconnected, err)
 	}
 	return nil
 }
--- a/internal/outputs/cluster/readreplica.go
+++ b/internal/outputs/cluster/readreplica.go
@@ -48,7 +48,7 @@
 	for stream.Receive() {
 		timeout.Reset(callTimeout)
 		blocks := stream.Msg().Blocks
-		if !r.takeBlocks(blocks) {
+		if !r.acceptBlocks(blocks) {
 			return nil
 		}
 		if err := r.sendPending(); err != nil {
@@ -82,7 +82,7 @@
 			return err
 		}
 		if len(blocks) > 0 {
-			if !r.takeBlocks(blocks) {
+			if !r.acceptBlocks(blocks) {
 				return nil
 			}
 			if err := r.sendPending(); err != nil {
@@ -104,9 +104,9 @@
 	}
 }
 
-// takeBlocks takes the records of blocks that follow the last one. It reports whether
+// acceptBlocks takes the records of blocks that follow the last one. It reports whether
 // they do: false means a hole, or a block that can't be unpacked.
-func (r *attemptReader) takeBlocks(blocks []*pb.Block) bool {
+func (r *attemptReader) acceptBlocks(blocks []*pb.Block) bool {
 	for _, b := range blocks {
 		if b.First+uint64(b.Count) <= r.next {
 			continue
@@ -123,15 +123,15 @@
 		}
 		for _, rec := range records {
 			if rec.Seq >= r.next {
-				r.takeRecord(rec)
+				r.acceptRecord(rec)
 			}
 		}
 	}
 	return true
 }
 
-// takeRecord takes the next record, if the reader asked for it.
-func (r *attemptReader) takeRecord(rec *pb.Record) {
+// acceptRecord takes the next record, if the reader asked for it.
+func (r *attemptReader) acceptRecord(rec *pb.Record) {
 	if r.digest != nil {
 		r.digest.Add(rec)
 	}
--- a/internal/outputs/cluster/readtail.go
+++ b/internal/outputs/cluster/readtail.go
@@ -10,11 +10,11 @@
 )
 
 const (
-	// firstTailRecords is how many records from the end are searched first for the
+	// initialTailRecords is how many records from the end are searched first for the
 	// last lines.
-	firstTailRecords = 16
-	// tailGrowth is by how much more is searched each time that they were too few.
-	tailGrowth = 8
+	initialTailRecords = 16
+	// tailGrowthFactor is by how much more is searched each time that they were too few.
+	tailGrowthFactor = 8
 )
 
 // seekTail moves to the place from which on TailLines lines follow. It reads ever
@@ -28,7 +28,7 @@
 	for _, c := range list {
 		end = max(end, outputs.Spans(c.held.Spans).End())
 	}
-	for back := uint64(firstTailRecords); ; back *= tailGrowth {
+	for back := uint64(initialTailRecords); ; back *= tailGrowthFactor {
 		from := max(end-min(back, end), r.request.From)
 		tail, err := r.readTail(ctx, from)
 		if err != nil {
--- a/internal/outputs/cluster/repair.go
+++ b/internal/outputs/cluster/repair.go
@@ -62,13 +62,13 @@
 
 func jitter(d time.Duration) time.Duration { return nextBackoff(d/2, d, d) }
 
-// repairCount says how a comparison with a peer went.
-type repairCount struct {
+// repairResult says how a comparison with a peer went.
+type repairResult struct {
 	repaired int // attempts of which something was copied
 	missing  int // attempts of which the peer holds more
 }
 
-func (c *repairCount) add(o repairCount) {
+func (c *repairResult) add(o repairResult) {
 	c.repaired += o.repaired
 	c.missing += o.missing
 }
@@ -78,7 +78,7 @@
 func (n *Node) Repair(ctx context.Context, v *View) int {
 	n.repairMu.Lock()
 	defer n.repairMu.Unlock()
-	var total repairCount
+	var total repairResult
 	for _, m := range v.Members {
 		if n.isSelf(m) || !n.health.isAvailable(m) || ctx.Err() != nil {
 			continue
@@ -94,23 +94,23 @@
 }
 
 // repairFrom compares digests with one peer, and copies what differs.
-func (n *Node) repairFrom(ctx context.Context, v *View, m Member) (repairCount, error) {
+func (n *Node) repairFrom(ctx context.Context, v *View, m Member) (repairResult, error) {
 	owner, members, factor := n.membership.Self.Name, v.toProto(), uint32(n.options.ReplicationFactor)
 	remote, err := callPeer(ctx, n, m, Peer.Digests, &pb.DigestsRequest{Owner: owner, Members: members, Copies: factor})
 	if err != nil {
-		return repairCount{}, err
+		return repairResult{}, err
 	}
 	if len(remote.Buckets) != DigestBuckets {
-		return repairCount{}, fmt.Errorf("%d buckets, not %d", len(remote.Buckets), DigestBuckets)
+		return repairResult{}, fmt.Errorf("%d buckets, not %d", len(remote.Buckets), DigestBuckets)
 	}
 	local := n.digestsFor(v, n.options.ReplicationFactor).buckets[m.Name]
-	var total repairCount
+	var total repairResult
 	if differing := differingBuckets(local, remote.Buckets); len(differing) > 0 {
 		q := &pb.BucketRequest{Owner: owner, Members: members, Copies: factor, Buckets: differing}
 		total, err = n.pullMissing(ctx, m, q)
 	}
 	if err == nil && remote.Surplus > 0 {
-		var count repairCount
+		var count repairResult
 		q := &pb.BucketRequest{Owner: owner, Members: members, Copies: factor, Surplus: true}
 		count, err = n.pullMissing(ctx, m, q)
 		total.add(count)
@@ -135,8 +135,8 @@
 
 // pullMissing lists attempts that a peer holds, page by page, and copies what this
 // member misses of them.
-func (n *Node) pullMissing(ctx context.Context, m Member, q *pb.BucketRequest) (repairCount, error) {
-	var total repairCount
+func (n *Node) pullMissing(ctx context.Context, m Member, q *pb.BucketRequest) (repairResult, error) {
+	var total repairResult
 	for {
 		page, err := callPeer(ctx, n, m, Peer.Bucket, q)
 		if err != nil {
@@ -154,11 +154,11 @@
 
 // pullPage copies what this member misses of some attempts, several at once. All are
 // tried; the error is the first one.
-func (n *Node) pullPage(ctx context.Context, m Member, page []*pb.Held) (repairCount, error) {
+func (n *Node) pullPage(ctx context.Context, m Member, page []*pb.Held) (repairResult, error) {
 	var (
 		mu       sync.Mutex
 		wg       sync.WaitGroup
-		count    repairCount
+		count    repairResult
 		firstErr error
 	)
 	slots := make(chan struct{}, pullConcurrency)
--- a/internal/outputs/cluster/retention.go
+++ b/internal/outputs/cluster/retention.go
@@ -44,7 +44,7 @@
 		return true
 	})
 	dropped := 0
-	for page := range slices.Chunk(keys, maxListed) {
+	for page := range slices.Chunk(keys, maxAttemptsPerMessage) {
 		if err := n.store.Drop(ctx, "retention", page...); err != nil {
 			slog.Warn("expired attempts not dropped", "err", err)
 			break
--- a/internal/outputs/cluster/underreplicated.go
+++ b/internal/outputs/cluster/underreplicated.go
@@ -19,7 +19,7 @@
 		return true
 	})
 	remaining := len(keys)
-	for page := range slices.Chunk(keys, maxListed) {
+	for page := range slices.Chunk(keys, maxAttemptsPerMessage) {
 		complete := n.countCompleteReplicas(ctx, v, page)
 		for _, key := range page {
 			if complete[string(key)] >= n.options.ReplicationFactor {
--- a/internal/outputs/daemon/cluster_test.go
+++ b/internal/outputs/daemon/cluster_test.go
@@ -105,8 +105,8 @@
 	}
 }
 
-// mendLinks makes all stores reachable.
-func (c *testCluster) mendLinks() {
+// restoreLinks makes all stores reachable.
+func (c *testCluster) restoreLinks() {
 	for _, d := range c.stores {
 		c.setReachable(d, true)
 	}
@@ -120,17 +120,17 @@
 func (c *testCluster) startStore(name, zone string) *Daemon {
 	c.t.Helper()
 	config := Config{
-		Name:                 name,
-		Zone:                 zone,
-		Listen:               "127.0.0.1:0",
-		Dir:                  filepath.Join(c.dir, name),
-		Settings:             c.settings,
-		KeyValueStore:        c.newStateClient(),
-		HousekeepingInterval: 100 * time.Millisecond,
-		PinDuration:          300 * time.Millisecond,
-		CallTimeout:          2 * time.Second,
-		SettleTime:           time.Hour,
-		PeerTransport:        c,
+		Name:                name,
+		Zone:                zone,
+		Listen:              "127.0.0.1:0",
+		Dir:                 filepath.Join(c.dir, name),
+		Settings:            c.settings,
+		KeyValueStore:       c.newStateClient(),
+		MaintenanceInterval: 100 * time.Millisecond,
+		PinDuration:         300 * time.Millisecond,
+		CallTimeout:         2 * time.Second,
+		CompactionDelay:     time.Hour,
+		PeerTransport:       c,
 	}
 	if c.modifyConfig != nil {
 		c.modifyConfig(&config)
--- a/internal/outputs/daemon/config.go
+++ b/internal/outputs/daemon/config.go
@@ -28,17 +28,17 @@
 
 	// State is the key-value store in which the members find each other; nil: the
 	// store is alone. StatePollInterval is the time between two reads of it.
-	KeyValueStore     cluster.KeyValueStore
-	StatePollInterval func(stores int) time.Duration
+	KeyValueStore cluster.KeyValueStore
+	WatchPause    func(stores int) time.Duration
 
 	ConcurrencyLimits serve.ConcurrencyLimits // zero: serve.DefaultBounds
 	FS                disk.FS                 // nil: the system's
 
 	// Tests shorten these; zero values are replaced by those of production.
-	HousekeepingInterval time.Duration
-	PinDuration          time.Duration
-	CallTimeout          time.Duration
-	SettleTime           time.Duration
+	MaintenanceInterval time.Duration
+	PinDuration         time.Duration
+	CallTimeout         time.Duration
+	CompactionDelay     time.Duration
 
 	PeerTransport http.RoundTripper // of requests to other stores; nil: over the network
 }
@@ -71,21 +71,21 @@
 }
 
 const (
-	// minStatePoll and maxStatePoll bound the time between two reads of the members:
+	// minWatchPause and maxStatePoll bound the time between two reads of the members:
 	// more often only costs requests, and more seldom leaves members unnoticed.
-	minStatePoll = time.Second
-	maxStatePoll = 30 * time.Second
+	minWatchPause = time.Second
+	maxWatchPause = 30 * time.Second
 )
 
-// NewStateClient returns a client of the platform's key-value store that uses no
+// NewKeyValueStoreClient returns a client of the platform's key-value store that uses no
 // more than a share of its request rates, and how often to poll it with so many
 // stores.
-func NewStateClient(platform *config.Settings, share float64) (cluster.KeyValueStore, func(stores int) time.Duration) {
+func NewKeyValueStoreClient(platform *config.Settings, share float64) (cluster.KeyValueStore, func(stores int) time.Duration) {
 	readRate := platform.Deployment.State.RPS * share
 	writeRate := platform.StoreLimits().WriteRPS * share
 	pollInterval := func(stores int) time.Duration {
 		interval := storage.WatchPause(readRate, max(1, stores))
-		return min(max(interval, minStatePoll), maxStatePoll)
+		return min(max(interval, minWatchPause), maxWatchPause)
 	}
 	return storage.NewClient(platform.Services.State, readRate, writeRate, 1), pollInterval
 }
--- a/internal/outputs/daemon/daemon.go
+++ b/internal/outputs/daemon/daemon.go
@@ -37,9 +37,9 @@
 	// largest block of records and the largest page of a scan.
 	maxPeerMessageBytes = 16 << 20
 
-	defaultCallTimeout          = 3 * time.Second
-	defaultPinDuration          = time.Minute
-	defaultHousekeepingInterval = 30 * time.Second
+	defaultCallTimeout         = 3 * time.Second
+	defaultPinDuration         = time.Minute
+	defaultMaintenanceInterval = 30 * time.Second
 
 	serviceName = "reedtrack-outputs" // in traces
 	membersFile = "members.json"      // the members known last, in the data directory
@@ -117,7 +117,7 @@
 		SegmentBytes:    c.Settings.SegmentBytes,
 		MaxBytes:        c.Settings.MaxBytes,
 		ReserveBytes:    c.Settings.ReserveBytes,
-		CompactionDelay: c.SettleTime,
+		CompactionDelay: c.CompactionDelay,
 	})
 }
 
@@ -142,7 +142,7 @@
 		Self:          cluster.Member{Name: c.Name, Zone: c.Zone, ID: storeID},
 		KeyValueStore: c.KeyValueStore,
 		LeaseDuration: c.Settings.Lease,
-		WatchPause:    c.StatePollInterval,
+		WatchPause:    c.WatchPause,
 		CacheFile:     filepath.Join(c.Dir, membersFile),
 	}
 }
@@ -158,7 +158,7 @@
 		ScrubBytesPerSecond:  int(set.ScrubRate),
 		ScrubInterval:        set.ScrubInterval,
 		PinDuration:          cmp.Or(c.PinDuration, defaultPinDuration),
-		MaintenanceInterval:  cmp.Or(c.HousekeepingInterval, defaultHousekeepingInterval),
+		MaintenanceInterval:  cmp.Or(c.MaintenanceInterval, defaultMaintenanceInterval),
 		Retention:            set.RetentionFor,
 		Limits: cluster.Limits{
 			AttemptBytes:  set.AttemptBytes,
--- a/internal/outputs/daemon/partition_test.go
+++ b/internal/outputs/daemon/partition_test.go
@@ -29,7 +29,7 @@
 		t.Fatal(w.minCopies, err)
 	}
 	c.isolate(owners[0])
-	time.AfterFunc(700*time.Millisecond, c.mendLinks)
+	time.AfterFunc(700*time.Millisecond, c.restoreLinks)
 	if err := w.read(first); err != nil {
 		t.Error(err)
 	}
--- a/internal/outputs/daemon/retention_test.go
+++ b/internal/outputs/daemon/retention_test.go
@@ -10,16 +10,16 @@
 	"reedtrack/internal/outputs/settings"
 )
 
-// keepAnHour is a retention that does not end during a test.
-var keepAnHour = settings.Retention{Duration: time.Hour}
+// oneHourRetention is a retention that does not end during a test.
+var oneHourRetention = settings.Retention{Duration: time.Hour}
 
-// expireSoon restarts both stores with a retention that ends during the test. It
+// restartWithShortRetention restarts both stores with a retention that ends during the test. It
 // is not set from the beginning: on a slow machine it would be over before a test
 // had counted the copies.
-func (c *testCluster) expireSoon() {
+func (c *testCluster) restartWithShortRetention() {
 	c.t.Helper()
 	c.modifyConfig = func(config *Config) {
-		config.Settings.Retention = []settings.Retention{keepAnHour, {Class: "c", Duration: 1500 * time.Millisecond}}
+		config.Settings.Retention = []settings.Retention{oneHourRetention, {Class: "c", Duration: 1500 * time.Millisecond}}
 	}
 	for name, zone := range map[string]string{"s0": "a", "s1": "b"} {
 		c.stopStore(name)
@@ -29,7 +29,7 @@
 }
 
 func TestExpiredOutputsAreDeletedEverywhere(t *testing.T) {
-	c := newTestCluster(t, func(o *settings.Outputs) { o.Retention = []settings.Retention{keepAnHour} })
+	c := newTestCluster(t, func(o *settings.Outputs) { o.Retention = []settings.Retention{oneHourRetention} })
 	c.startStores("a", "b")
 	sealed, open := c.newWriter(0, 1, "k"), c.newWriter(1, 1, "k")
 	if err := errors.Join(sealed.append(c.anyStore(), 3), sealed.seal(c.anyStore(), 0), open.append(c.anyStore(), 3)); err != nil {
@@ -38,7 +38,7 @@
 	if n := sealed.completeCopies(); n != 2 {
 		t.Fatalf("%d copies, want 2", n)
 	}
-	c.expireSoon()
+	c.restartWithShortRetention()
 	areDeleted := func() bool {
 		for _, d := range c.stores {
 			if d.Node.Store().Held(sealed.key()) != nil || d.Node.Store().Held(open.key()) != nil {
@@ -62,11 +62,11 @@
 // A store that is to keep less does not get back from the other what it has
 // deleted, and does not delete it there.
 func TestShorterRetentionIsNotUndoneByPeer(t *testing.T) {
-	c := newTestCluster(t, func(o *settings.Outputs) { o.Retention = []settings.Retention{keepAnHour} })
+	c := newTestCluster(t, func(o *settings.Outputs) { o.Retention = []settings.Retention{oneHourRetention} })
 	c.startStores("a", "b")
-	c.expireSoon()
+	c.restartWithShortRetention()
 	c.stopStore("s1")
-	c.modifyConfig = func(config *Config) { config.Settings.Retention = []settings.Retention{keepAnHour} }
+	c.modifyConfig = func(config *Config) { config.Settings.Retention = []settings.Retention{oneHourRetention} }
 	c.startStore("s1", "b")
 	c.waitForMembers(2)
 	w := c.newWriter(2, 1, "k")
--- a/internal/outputs/serve/download.go
+++ b/internal/outputs/serve/download.go
@@ -63,14 +63,14 @@
 	if name := c.QueryParam("stream"); name != "" {
 		stream, ok := streamNames[name]
 		if !ok {
-			return nil, badField("stream", "must be stdout or stderr")
+			return nil, invalidField("stream", "must be stdout or stderr")
 		}
 		q.Streams = []pb.Stream{stream}
 	}
 	if tail := c.QueryParam("tail"); tail != "" {
 		lines, err := strconv.ParseUint(tail, 10, 31)
 		if err != nil {
-			return nil, badField("tail", "must be a number of lines")
+			return nil, invalidField("tail", "must be a number of lines")
 		}
 		q.TailLines = lines
 	}
@@ -109,7 +109,7 @@
 	name := c.Param("*")
 	if c.Request().URL.RawPath != "" { // echo leaves the parameter escaped then
 		if name, err = url.PathUnescape(name); err != nil {
-			return badField("path", "not an escaped path")
+			return invalidField("path", "not an escaped path")
 		}
 	}
 	offset, partial := parseRange(c.Request().Header.Get("Range"))
--- a/internal/outputs/serve/errors.go
+++ b/internal/outputs/serve/errors.go
@@ -17,11 +17,11 @@
 )
 
 const (
-	// retrySoon is for what passes by itself: a queue that drains, a member that
+	// shortRetryDelay is for what passes by itself: a queue that drains, a member that
 	// comes back.
-	retrySoon = time.Second
-	// retryFullDisk gives compaction time to free something.
-	retryFullDisk = 5 * time.Second
+	shortRetryDelay = time.Second
+	// fullDiskRetryDelay gives compaction time to free something.
+	fullDiskRetryDelay = 5 * time.Second
 )
 
 // connectError turns an error into what the caller is told: a code, the reason, and
@@ -45,13 +45,13 @@
 	case errors.As(err, &limit):
 		return newError(connect.CodeResourceExhausted, err, limit.RetryAfter)
 	case errors.Is(err, disk.ErrFull):
-		return newError(connect.CodeResourceExhausted, err, retryFullDisk)
+		return newError(connect.CodeResourceExhausted, err, fullDiskRetryDelay)
 	case errors.Is(err, disk.ErrBusy), errors.Is(err, disk.ErrClosed), errors.Is(err, cluster.ErrUnavailable), errors.Is(err, disk.ErrDamaged):
-		return newError(connect.CodeUnavailable, err, retrySoon)
+		return newError(connect.CodeUnavailable, err, shortRetryDelay)
 	case errors.Is(err, disk.ErrNotFound):
 		return newError(connect.CodeNotFound, err, 0)
 	case errors.Is(err, context.DeadlineExceeded):
-		return newError(connect.CodeDeadlineExceeded, err, retrySoon)
+		return newError(connect.CodeDeadlineExceeded, err, shortRetryDelay)
 	case errors.Is(err, context.Canceled):
 		return newError(connect.CodeCanceled, err, 0)
 	case errors.As(err, &remote):
@@ -64,7 +64,7 @@
 func forwardedError(remote *connect.Error) error {
 	code, retryAfter := remote.Code(), time.Duration(0)
 	if code == connect.CodeUnavailable || code == connect.CodeResourceExhausted {
-		retryAfter = retrySoon
+		retryAfter = shortRetryDelay
 	}
 	return newError(code, errors.New(remote.Message()), retryAfter)
 }
@@ -79,8 +79,8 @@
 	return e
 }
 
-// badField refuses a request because of one of its fields.
-func badField(field, reason string) error {
+// invalidField refuses a request because of one of its fields.
+func invalidField(field, reason string) error {
 	return connectError(&protocol.InvalidFieldError{Field: field, Reason: reason})
 }
 
@@ -88,7 +88,7 @@
 
 // overloaded refuses a request because too many of its kind run at once.
 func overloaded(kind string) error {
-	return newError(connect.CodeUnavailable, errors.New("too many "+kind+" at once"), retrySoon)
+	return newError(connect.CodeUnavailable, errors.New("too many "+kind+" at once"), shortRetryDelay)
 }
 
 // httpStatus returns the HTTP status of an error for plain requests.
--- a/internal/outputs/serve/findattempt.go
+++ b/internal/outputs/serve/findattempt.go
@@ -35,12 +35,12 @@
 func (p pages) findAttempt(c echo.Context) (*pb.Summary, error) {
 	task, err := strconv.ParseUint(c.Param("task"), 10, 32)
 	if err != nil {
-		return nil, badField("task", "must be a number")
+		return nil, invalidField("task", "must be a number")
 	}
 	selector := attemptSelector{run: c.QueryParam("run")}
 	if t := c.QueryParam("try"); t != "" {
 		if selector.try, err = strconv.ParseUint(t, 10, 64); err != nil {
-			return nil, badField("try", "must be a number")
+			return nil, invalidField("try", "must be a number")
 		}
 	}
 	var newest *pb.Summary
--- a/internal/outputs/serve/pages.go
+++ b/internal/outputs/serve/pages.go
@@ -127,27 +127,27 @@
 func parseListRequest(c echo.Context) (*pb.ListRequest, error) {
 	which, ok := listFilters[c.QueryParam("which")]
 	if !ok {
-		return nil, badField("which", "must be all, failed or open")
+		return nil, invalidField("which", "must be all, failed or open")
 	}
 	q := &pb.ListRequest{Job: c.Param("job"), Which: which}
 	if task := c.QueryParam("task"); task != "" {
 		n, err := strconv.ParseUint(task, 10, 32)
 		if err != nil {
-			return nil, badField("task", "must be a number")
+			return nil, invalidField("task", "must be a number")
 		}
 		q.Task = proto.Uint32(uint32(n))
 	}
 	if limit := c.QueryParam("limit"); limit != "" {
 		n, err := strconv.ParseUint(limit, 10, 16)
 		if err != nil {
-			return nil, badField("limit", "must be a number")
+			return nil, invalidField("limit", "must be a number")
 		}
 		q.Limit = uint32(n)
 	}
 	if after := c.QueryParam("after"); after != "" {
 		key, err := hex.DecodeString(after)
 		if err != nil {
-			return nil, badField("after", "must be what the page before says")
+			return nil, invalidField("after", "must be what the page before says")
 		}
 		q.After = key
 	}
--- a/internal/outputs/serve/peer.go
+++ b/internal/outputs/serve/peer.go
@@ -15,8 +15,8 @@
 // store; only the token of a peer opens them.
 type peerService struct{ node *cluster.Node }
 
-// answerPeer answers a unary request if the caller is a peer.
-func answerPeer[T any](ctx context.Context, answer func() (*T, error)) (*connect.Response[T], error) {
+// handlePeer answers a unary request if the caller is a peer.
+func handlePeer[T any](ctx context.Context, answer func() (*T, error)) (*connect.Response[T], error) {
 	if err := callerOf(ctx).AuthorizePeer(); err != nil {
 		return nil, permissionDenied(err)
 	}
@@ -29,19 +29,19 @@
 
 // Put stores entries.
 func (p *peerService) Put(ctx context.Context, r *connect.Request[pb.PutRequest]) (*connect.Response[pb.PutResponse], error) {
-	return answerPeer(ctx, func() (*pb.PutResponse, error) {
+	return handlePeer(ctx, func() (*pb.PutResponse, error) {
 		return new(pb.PutResponse), p.node.Store().Put(ctx, r.Msg.Entries...)
 	})
 }
 
 // Scan lists attempts of a job.
 func (p *peerService) Scan(ctx context.Context, r *connect.Request[pb.ScanRequest]) (*connect.Response[pb.ScanResponse], error) {
-	return answerPeer(ctx, func() (*pb.ScanResponse, error) { return p.node.Scan(r.Msg), nil })
+	return handlePeer(ctx, func() (*pb.ScanResponse, error) { return p.node.Scan(r.Msg), nil })
 }
 
 // Held tells what is held of some attempts.
 func (p *peerService) Held(ctx context.Context, r *connect.Request[pb.HeldRequest]) (*connect.Response[pb.HeldResponse], error) {
-	return answerPeer(ctx, func() (*pb.HeldResponse, error) {
+	return handlePeer(ctx, func() (*pb.HeldResponse, error) {
 		answer := new(pb.HeldResponse)
 		for _, key := range r.Msg.Keys {
 			if held := p.node.Store().Held(key); held != nil {
@@ -62,7 +62,7 @@
 
 // GetSeal returns an attempt's seal, and what is known of its beginning.
 func (p *peerService) GetSeal(ctx context.Context, r *connect.Request[pb.GetSealRequest]) (*connect.Response[pb.GetSealResponse], error) {
-	return answerPeer(ctx, func() (*pb.GetSealResponse, error) {
+	return handlePeer(ctx, func() (*pb.GetSealResponse, error) {
 		seal, meta := p.node.Store().Seal(r.Msg.Key)
 		return &pb.GetSealResponse{Seal: seal, Meta: meta}, nil
 	})
@@ -71,7 +71,7 @@
 // GetChunk returns a chunk. A damaged one counts as missing, so that the peer asks
 // another member.
 func (p *peerService) GetChunk(ctx context.Context, r *connect.Request[pb.GetChunkRequest]) (*connect.Response[pb.GetChunkResponse], error) {
-	return answerPeer(ctx, func() (*pb.GetChunkResponse, error) {
+	return handlePeer(ctx, func() (*pb.GetChunkResponse, error) {
 		chunk, err := p.node.Store().Chunk(r.Msg.Team, r.Msg.Sha256)
 		if errors.Is(err, disk.ErrDamaged) {
 			err = disk.ErrNotFound
@@ -82,27 +82,27 @@
 
 // HasChunks tells which chunks are missing here.
 func (p *peerService) HasChunks(ctx context.Context, r *connect.Request[pb.HasChunksRequest]) (*connect.Response[pb.HasChunksResponse], error) {
-	return answerPeer(ctx, func() (*pb.HasChunksResponse, error) {
+	return handlePeer(ctx, func() (*pb.HasChunksResponse, error) {
 		return &pb.HasChunksResponse{Missing: p.node.Store().MissingChunks(r.Msg.Team, r.Msg.Sha256)}, nil
 	})
 }
 
 // Digests returns digests for a round of repair.
 func (p *peerService) Digests(ctx context.Context, r *connect.Request[pb.DigestsRequest]) (*connect.Response[pb.DigestsResponse], error) {
-	return answerPeer(ctx, func() (*pb.DigestsResponse, error) { return p.node.Digests(r.Msg), nil })
+	return handlePeer(ctx, func() (*pb.DigestsResponse, error) { return p.node.Digests(r.Msg), nil })
 }
 
 // Bucket lists the attempts behind some digests.
 func (p *peerService) Bucket(ctx context.Context, r *connect.Request[pb.BucketRequest]) (*connect.Response[pb.BucketResponse], error) {
-	return answerPeer(ctx, func() (*pb.BucketResponse, error) { return p.node.Bucket(r.Msg), nil })
+	return handlePeer(ctx, func() (*pb.BucketResponse, error) { return p.node.Bucket(r.Msg), nil })
 }
 
 // Confirm tells a peer whether it may drop its replicas.
 func (p *peerService) Confirm(ctx context.Context, r *connect.Request[pb.ConfirmRequest]) (*connect.Response[pb.ConfirmResponse], error) {
-	return answerPeer(ctx, func() (*pb.ConfirmResponse, error) { return p.node.Confirm(r.Msg), nil })
+	return handlePeer(ctx, func() (*pb.ConfirmResponse, error) { return p.node.Confirm(r.Msg), nil })
 }
 
 // Status tells how full this store is.
 func (p *peerService) Status(ctx context.Context, _ *connect.Request[pb.StatusRequest]) (*connect.Response[pb.StatusResponse], error) {
-	return answerPeer(ctx, func() (*pb.StatusResponse, error) { return p.node.LocalStatus(), nil })
+	return handlePeer(ctx, func() (*pb.StatusResponse, error) { return p.node.LocalStatus(), nil })
 }
--- a/internal/outputs/serve/reader.go
+++ b/internal/outputs/serve/reader.go
@@ -41,7 +41,7 @@
 
 func (s *readerService) list(ctx context.Context, q *pb.ListRequest) (*pb.ListResponse, error) {
 	if !protocol.ValidJobID(q.Job) {
-		return nil, badField("job", "must look like wk-000412")
+		return nil, invalidField("job", "must look like wk-000412")
 	}
 	caller := callerOf(ctx)
 	if caller.Role == access.RolePeer {
@@ -92,7 +92,7 @@
 		return err
 	}
 	if q.TailLines > math.MaxInt32 {
-		return badField("tail_lines", "too many")
+		return invalidField("tail_lines", "too many")
 	}
 	slots := s.slots
 	if q.Follow {
@@ -122,7 +122,7 @@
 		return connect.NewError(connect.CodeNotFound, fmt.Errorf("%s has no artefact %s", outputs.Name(q.Attempt), outputs.PathName(q.Path)))
 	}
 	if q.Offset > artefact.Size {
-		return badField("offset", fmt.Sprintf("the artefact has %d bytes", artefact.Size))
+		return invalidField("offset", fmt.Sprintf("the artefact has %d bytes", artefact.Size))
 	}
 	release, err := acquireSlot(s.slots, "readers")
 	if err != nil {
--- a/internal/outputs/serve/writer.go
+++ b/internal/outputs/serve/writer.go
@@ -36,8 +36,8 @@
 	return nil
 }
 
-// answerWrite runs a write in one of the service's slots.
-func answerWrite[T any](w *writerService, write func() (*T, error)) (*connect.Response[T], error) {
+// handleWrite runs a write in one of the service's slots.
+func handleWrite[T any](w *writerService, write func() (*T, error)) (*connect.Response[T], error) {
 	release, err := acquireSlot(w.slots, "writes")
 	if err != nil {
 		return nil, err
@@ -57,7 +57,7 @@
 	if err := w.authorize(ctx, q.Attempt, q.Secret, q.Meta); err != nil {
 		return nil, err
 	}
-	return answerWrite(w, func() (*pb.OpenResponse, error) {
+	return handleWrite(w, func() (*pb.OpenResponse, error) {
 		if _, err := w.node.Open(ctx, q.Attempt, q.Meta); err != nil {
 			return nil, err
 		}
@@ -83,9 +83,9 @@
 		return nil, err
 	}
 	if q.Block == nil {
-		return nil, badField("block", "missing")
+		return nil, invalidField("block", "missing")
 	}
-	return answerWrite(w, func() (*pb.AppendResponse, error) {
+	return handleWrite(w, func() (*pb.AppendResponse, error) {
 		copies, err := w.node.Append(ctx, q.Attempt, q.Meta, q.Block)
 		return &pb.AppendResponse{Copies: uint32(copies)}, err
 	})
@@ -98,9 +98,9 @@
 		return nil, err
 	}
 	if len(q.Sha256) > outputs.MaxChunks {
-		return nil, badField("sha256", fmt.Sprintf("must be at most %d", outputs.MaxChunks))
+		return nil, invalidField("sha256", fmt.Sprintf("must be at most %d", outputs.MaxChunks))
 	}
-	return answerWrite(w, func() (*pb.MissingChunksResponse, error) {
+	return handleWrite(w, func() (*pb.MissingChunksResponse, error) {
 		missing, err := w.node.MissingChunks(ctx, q.Attempt, q.Sha256)
 		return &pb.MissingChunksResponse{Sha256: missing}, err
 	})
@@ -113,9 +113,9 @@
 		return nil, err
 	}
 	if q.Chunk == nil {
-		return nil, badField("chunk", "missing")
+		return nil, invalidField("chunk", "missing")
 	}
-	return answerWrite(w, func() (*pb.PutChunkResponse, error) {
+	return handleWrite(w, func() (*pb.PutChunkResponse, error) {
 		copies, err := w.node.PutChunk(ctx, q.Attempt, q.Chunk)
 		return &pb.PutChunkResponse{Copies: uint32(copies)}, err
 	})
@@ -130,7 +130,7 @@
 	if err := outputs.CheckSeal(q.Seal, w.node.Limits().ArtefactBytes); err != nil {
 		return nil, connectError(err)
 	}
-	return answerWrite(w, func() (*pb.SealResponse, error) {
+	return handleWrite(w, func() (*pb.SealResponse, error) {
 		copies, err := w.node.Seal(ctx, q.Attempt, q.Meta, q.Seal)
 		return &pb.SealResponse{Copies: uint32(copies)}, err
 	})
--- a/internal/outputs/settings/settings.go
+++ b/internal/outputs/settings/settings.go
@@ -111,6 +111,6 @@
 	return specificity
 }
 
-func (r Retention) hasSameSubject(other Retention) bool {
+func (r Retention) hasSameScope(other Retention) bool {
 	return r.Team == other.Team && r.Class == other.Class
 }
--- a/internal/outputs/settings/xml.go
+++ b/internal/outputs/settings/xml.go
@@ -224,7 +224,7 @@
 			Class:    strings.TrimSpace(element.Class),
 			Duration: time.Duration(*element.Days * float64(day)),
 		}
-		if slices.ContainsFunc(o.Retention, retention.hasSameSubject) {
+		if slices.ContainsFunc(o.Retention, retention.hasSameScope) {
 			return &FieldError{field, "another one names the same team and class"}
 		}
 		o.Retention = append(o.Retention, retention)
