--- a/internal/outputs/access/caller.go
+++ b/internal/outputs/access/caller.go
@@ -5,14 +5,14 @@
 	"fmt"
 )
 
-// Caller is who sends a request.
+// Caller is the authenticated sender of a request.
 type Caller struct {
-	Team         string // empty: no particular one
+	Team         string // empty: not limited to a team
 	Role         Role
-	Unrestricted bool // nothing is checked: a store on loopback without tokens
+	Unrestricted bool // all requests are authorized: a store on loopback without tokens
 }
 
-// AuthorizeWrite returns why a caller may not write a team's outputs, or nil.
+// AuthorizeWrite returns an error if a caller may not write a team's outputs.
 func (c Caller) AuthorizeWrite(team string) error {
 	switch {
 	case c.Unrestricted, c.Role == RoleWrite && c.Team == team:
@@ -23,7 +23,7 @@
 	return errors.New("the token is not one to write with")
 }
 
-// AuthorizeRead returns why a caller may not read a team's outputs, or nil.
+// AuthorizeRead returns an error if a caller may not read a team's outputs.
 func (c Caller) AuthorizeRead(team string) error {
 	readsTeam := c.Role == RoleWrite || c.Role == RoleRead
 	switch {
--- a/internal/outputs/access/certificate.go
+++ b/internal/outputs/access/certificate.go
@@ -9,27 +9,27 @@
 	"time"
 )
 
-// reloadInterval bounds how often the files of a certificate are looked at, so
-// that many handshakes cost few system calls.
+// reloadInterval is the minimum time between two checks of a certificate's files, so
+// that frequent handshakes cost few system calls.
 const reloadInterval = time.Second
 
-// alpnProtocols are offered in a TLS handshake, by preference.
+// alpnProtocols are the protocols offered in a TLS handshake, in order of preference.
 var alpnProtocols = []string{"h2", "http/1.1"}
 
-// CertificateReloader serves a certificate and its key and loads them again when
-// their files change, so that a renewed certificate needs no restart. Files that
-// can't be used are refused with the reason, and the certificate before stays in
-// use until it expires. It is safe for concurrent use.
+// CertificateReloader provides a certificate and its key and reloads them when their
+// files change, so that a renewed certificate needs no restart. If the new files are
+// invalid, it logs the reason, and the previous certificate stays in use until it
+// expires. It is safe for concurrent use.
 type CertificateReloader struct {
 	CertFile string
 	KeyFile  string
-	Now      func() time.Time // time.Now but in tests
+	Now      func() time.Time // time.Now except in tests
 
 	mu            sync.Mutex
 	cert          *tls.Certificate
-	files         keyPairFiles // as they were when cert was loaded
+	files         keyPairFiles // state of the files when cert was loaded
 	checkedAt     time.Time
-	lastLoadError string // logged once; empty when the files were good
+	lastLoadError string // logged once; empty if the last load succeeded
 }
 
 // LoadCertificate loads a certificate and its key.
@@ -64,7 +64,7 @@
 	return nil
 }
 
-// Certificate returns the certificate in use, for the field GetCertificate of
+// Certificate returns the current certificate. It is meant for GetCertificate in
 // [tls.Config].
 func (r *CertificateReloader) Certificate(*tls.ClientHelloInfo) (*tls.Certificate, error) {
 	r.mu.Lock()
@@ -79,7 +79,7 @@
 	return r.cert, nil
 }
 
-// reloadIfChanged takes up changed files. Called with mu held.
+// reloadIfChanged loads the files if they have changed. The caller holds mu.
 func (r *CertificateReloader) reloadIfChanged() {
 	files := r.stat()
 	if files.equal(r.files) {
@@ -97,7 +97,7 @@
 	slog.Info("certificate reloaded", "file", r.CertFile, "expires", cert.Leaf.NotAfter.Format(time.DateTime))
 }
 
-// ServerConfig returns the TLS configuration of a server with this certificate.
+// ServerConfig returns a TLS configuration for servers with this certificate.
 func (r *CertificateReloader) ServerConfig() *tls.Config {
 	return &tls.Config{
 		MinVersion:     tls.VersionTLS12,
@@ -106,7 +106,7 @@
 	}
 }
 
-// keyPairFiles are the states of a certificate's and its key's file; nil for one
+// keyPairFiles is the state of a certificate's file and its key's file; nil for a file
 // that can't be found.
 type keyPairFiles struct {
 	cert os.FileInfo
@@ -124,12 +124,12 @@
 	return isSameFile(f.cert, other.cert) && isSameFile(f.key, other.key)
 }
 
-// isSameFile reports whether a file is surely unchanged.
+// isSameFile reports whether a file exists in both states and is unchanged.
 func isSameFile(a, b os.FileInfo) bool {
 	return a != nil && b != nil && hasSameContent(a, b) && os.SameFile(a, b)
 }
 
-// hasSameContent compares the time of the last change and the size of two states.
+// hasSameContent compares the modification times and sizes of two states of a file.
 func hasSameContent(a, b os.FileInfo) bool {
 	return a.ModTime().Equal(b.ModTime()) && a.Size() == b.Size()
 }
--- a/internal/outputs/access/certificate_test.go
+++ b/internal/outputs/access/certificate_test.go
@@ -24,7 +24,7 @@
 	os.Exit(m.Run())
 }
 
-// authority signs certificates.
+// authority is a certificate authority.
 type authority struct {
 	t    *testing.T
 	cert *x509.Certificate
@@ -66,7 +66,7 @@
 	return pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: a.cert.Raw})
 }
 
-// certificateServer is an HTTPS server whose certificate files tests replace.
+// certificateServer is an HTTPS server whose certificate files can be replaced.
 type certificateServer struct {
 	t        *testing.T
 	certFile string
@@ -78,8 +78,8 @@
 	changes  int
 }
 
-// newCertificateServer starts a server with a certificate of an authority that its
-// clients trust.
+// newCertificateServer starts a server with a certificate of an authority that the
+// clients of the test trust.
 func newCertificateServer(t *testing.T, ca *authority) *certificateServer {
 	t.Helper()
 	dir := t.TempDir()
@@ -115,7 +115,7 @@
 	}
 }
 
-// issue writes a certificate for an address, valid until after from now.
+// issue writes a certificate for an IP address that expires after the given duration.
 func (s *certificateServer) issue(ca *authority, ip string, serial int64, after time.Duration) {
 	s.t.Helper()
 	issue(s.t, ca, s.certFile, s.keyFile, ip, serial, after)
@@ -149,8 +149,8 @@
 	}
 }
 
-// replace changes the certificate files and lets the time pass after which the
-// server looks at them again. Each change has another file time.
+// replace changes the certificate files and advances the clock until the server checks
+// them again. Each change sets a different modification time.
 func (s *certificateServer) replace(change func()) {
 	s.t.Helper()
 	change()
@@ -163,7 +163,7 @@
 	s.now = s.now.Add(2 * time.Second)
 }
 
-// servedSerial returns the serial number of the certificate that the server shows.
+// servedSerial returns the serial number of the certificate that the server presents.
 func (s *certificateServer) servedSerial() int64 {
 	s.t.Helper()
 	conn, err := tls.Dial("tcp", s.addr, &tls.Config{InsecureSkipVerify: true})
--- a/internal/outputs/access/httpclient.go
+++ b/internal/outputs/access/httpclient.go
@@ -15,18 +15,19 @@
 )
 
 const (
-	// connectTimeout bounds the TCP and the TLS handshake each: a store that is
-	// away is found out in time to ask another one.
+	// connectTimeout limits the TCP and the TLS handshake each, so that an unreachable
+	// store is detected early enough to try another one.
 	connectTimeout = 3 * time.Second
-	// idleConnTimeout is when unused connections are closed; as in net/http.
+	// idleConnTimeout is how long idle connections are kept; the default of net/http.
 	idleConnTimeout = 90 * time.Second
-	// expectedHosts is how many stores a client is expected to keep connections to.
+	// expectedHosts is the number of stores to which a client is expected to keep
+	// connections.
 	expectedHosts = 4
 )
 
-// NewHTTPClient returns an HTTP client that trusts the authorities in a CA file,
-// or those of the system if the name is empty. The file is loaded again when it
-// changes. Up to idleConnsPerHost idle connections to one address are kept.
+// NewHTTPClient returns an HTTP client that trusts the certificate authorities in a CA
+// file, or those of the system if caFile is empty. The file is reloaded when it
+// changes. Up to idleConnsPerHost idle connections per address are kept.
 func NewHTTPClient(caFile string, idleConnsPerHost int) (*http.Client, error) {
 	transport := &http.Transport{
 		MaxIdleConnsPerHost: idleConnsPerHost,
@@ -49,8 +50,8 @@
 	return &http.Client{Transport: transport}, nil
 }
 
-// tlsDialer opens TLS connections and checks the certificates itself: the
-// authorities may change, and Go's own check takes those of the beginning.
+// tlsDialer opens TLS connections and verifies certificates itself, because crypto/tls
+// verifies only against the authorities that were configured initially.
 type tlsDialer struct {
 	dial        func(ctx context.Context, network, addr string) (net.Conn, error)
 	authorities *reloadingCertPool
@@ -75,26 +76,26 @@
 	return conn, nil
 }
 
-// config is that of a connection to a host, as it was dialled. The host is passed on
-// to the check because the state of a connection has no server name for an address.
+// config returns the TLS configuration of a connection to a host. The host is passed to
+// the verification because a connection state has no server name for an IP address.
 func (d *tlsDialer) config(host string) *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS12,
 		ServerName: host,
 		NextProtos: alpnProtocols,
-		// Only Go's own check is skipped; VerifyConnection takes its place.
+		// VerifyConnection replaces the verification that this disables.
 		InsecureSkipVerify: true,
 		VerifyConnection:   func(state tls.ConnectionState) error { return d.authorities.verify(host, state) },
 	}
 }
 
-// reloadingCertPool holds the authorities of a CA file, and loads them again when the
-// file changes. When it then can't be used, the ones before stay.
+// reloadingCertPool holds the certificate authorities of a CA file and reloads them when
+// the file changes. If the new file is invalid, the previous authorities stay in use.
 type reloadingCertPool struct {
 	file string
 
 	mu     sync.Mutex
-	loaded os.FileInfo // the file as it was when pool was loaded
+	loaded os.FileInfo // state of the file when pool was loaded
 	pool   *x509.CertPool
 }
 
@@ -128,7 +129,7 @@
 	return pool, nil
 }
 
-// verify checks the certificates that a host has shown.
+// verify verifies the certificates that a host presented.
 func (p *reloadingCertPool) verify(host string, state tls.ConnectionState) error {
 	pool, err := p.load()
 	if err != nil {
@@ -142,7 +143,8 @@
 	return describeVerifyError(host, err)
 }
 
-// describeVerifyError says in an operator's terms why a certificate was refused.
+// describeVerifyError returns an error that describes a verification failure in terms of
+// the operator's configuration.
 func describeVerifyError(host string, err error) error {
 	var invalid x509.CertificateInvalidError
 	var unknownAuthority x509.UnknownAuthorityError
@@ -160,8 +162,8 @@
 	return err
 }
 
-// IsLoopback reports whether an address, IP:PORT, is reached from this machine
-// only. Names are not looked up and count as reached from others.
+// IsLoopback reports whether an address of the form IP:PORT is a loopback address. Host
+// names are not resolved and do not count as loopback.
 func IsLoopback(addr string) bool {
 	addrPort, err := netip.ParseAddrPort(addr)
 	return err == nil && addrPort.Addr().IsLoopback()
--- a/internal/outputs/access/token.go
+++ b/internal/outputs/access/token.go
@@ -13,44 +13,44 @@
 )
 
 const (
-	// secretPrefix tells people and search tools what a secret is a token of.
+	// secretPrefix makes tokens recognizable to people and secret scanners.
 	secretPrefix = "rt_"
-	// secretBytes is the randomness of a token: more than can be guessed.
+	// secretBytes is the number of random bytes of a token, too many to be guessed.
 	secretBytes = 24
-	// forbiddenPermissions are those that a file with a secret must not have.
+	// forbiddenPermissions are permissions that a file with a secret must not have.
 	forbiddenPermissions = 0o077
 )
 
-// Role is what a token is for.
+// Role is the set of permissions of a token.
 type Role string
 
-// The roles of tokens, as they stand in the settings.
+// The roles of tokens, as written in the settings.
 const (
 	RoleWrite Role = "write" // reads and writes its team's outputs
 	RoleRead  Role = "read"  // reads its team's outputs
-	RoleAll   Role = "all"   // reads every team's: operators
-	RolePeer  Role = "peer"  // stores among themselves
+	RoleAll   Role = "all"   // reads the outputs of every team; for operators
+	RolePeer  Role = "peer"  // for requests between stores
 )
 
-// Token is one that is accepted. Only the SHA-256 of the secret is known.
+// Token is an accepted token. Only the SHA-256 hash of its secret is stored.
 type Token struct {
-	Team string // of RoleWrite and RoleRead
+	Team string // for RoleWrite and RoleRead
 	Role Role
 	Hash [sha256.Size]byte
 }
 
-// What can be wrong with a request's token.
+// Errors of [TokenSet.Authenticate].
 var (
 	ErrNoToken      = errors.New("no token: set REEDTRACK_TOKEN or name a file that holds it")
 	ErrUnknownToken = errors.New("the token is not known here")
 )
 
-// TokenSet holds the tokens that are accepted. An empty one allows everything.
+// TokenSet is a set of accepted tokens. An empty set disables authentication.
 type TokenSet struct {
 	byHash map[[sha256.Size]byte]Token
 }
 
-// NewTokenSet makes a set of a list, in which no token may stand twice.
+// NewTokenSet returns a set of the given tokens, which must not contain duplicates.
 func NewTokenSet(list []Token) (*TokenSet, error) {
 	set := &TokenSet{byHash: map[[sha256.Size]byte]Token{}}
 	for _, token := range list {
@@ -65,9 +65,9 @@
 // IsDisabled reports whether requests are not authenticated.
 func (t *TokenSet) IsDisabled() bool { return len(t.byHash) == 0 }
 
-// Authenticate finds who sends a request with a header: by a bearer token, or by
-// the password of basic authentication, which is what a browser can send. Tokens
-// are looked up by their hash, so the time that this takes tells nothing of them.
+// Authenticate returns the caller of a request with the given header. The token is a
+// bearer token or the password of basic authentication, which browsers can send. Tokens
+// are looked up by their hash, so the timing reveals nothing about them.
 func (t *TokenSet) Authenticate(header http.Header) (Caller, error) {
 	if t.IsDisabled() {
 		return Caller{Unrestricted: true}, nil
@@ -83,7 +83,7 @@
 	return Caller{Team: token.Team, Role: token.Role}, nil
 }
 
-// secretFromHeader returns the token in a header, or nothing.
+// secretFromHeader returns the token in a header, or "".
 func secretFromHeader(header http.Header) string {
 	scheme, credentials, _ := strings.Cut(header.Get("Authorization"), " ")
 	credentials = strings.TrimSpace(credentials)
@@ -101,7 +101,7 @@
 	return ""
 }
 
-// GenerateToken makes a token and the hash of it that the settings keep.
+// GenerateToken returns a new token and its hash for the settings.
 func GenerateToken() (secret, hash string) {
 	raw := make([]byte, secretBytes)
 	rand.Read(raw)
@@ -110,7 +110,7 @@
 	return secret, hex.EncodeToString(sum[:])
 }
 
-// ReadTokenFile reads a token from a file, which others must not be allowed to read.
+// ReadTokenFile reads a token from a file. Only the owner may have access to the file.
 func ReadTokenFile(path string) (string, error) {
 	info, err := os.Stat(path)
 	if err != nil {
--- a/internal/outputs/access/token_test.go
+++ b/internal/outputs/access/token_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// newTokens makes a set with a token of each role, those with a team of team red,
-// and returns it with its list and the secrets.
+// newTokens returns a set with one token per role, the list of its tokens and their
+// secrets. Tokens of roles that need a team belong to team red.
 func newTokens(t *testing.T) (set *TokenSet, list []Token, secrets map[Role]string) {
 	t.Helper()
 	secrets = map[Role]string{}
@@ -61,7 +61,7 @@
 	}
 }
 
-// A browser can send a token only as the password of basic authentication.
+// Browsers can send a token only as the password of basic authentication.
 func TestAuthenticateByBasicAuth(t *testing.T) {
 	set, _, secrets := newTokens(t)
 	request, err := http.NewRequest("GET", "/", nil)
--- a/internal/outputs/cluster/bench_test.go
+++ b/internal/outputs/cluster/bench_test.go
@@ -14,8 +14,9 @@
 	"reedtrack/internal/storage"
 )
 
-// BenchmarkMembership measures what an idle member asks of the key-value store in a
-// second, at the default lease, in a deployment of 250 requests a second.
+// BenchmarkMembership measures the requests per second that an idle member sends to
+// the key-value store, with the default lease duration and a key-value store limited
+// to 250 requests per second.
 func BenchmarkMembership(b *testing.B) {
 	requests := new(atomic.Int64)
 	srv := httptest.NewServer(requestCounter{emulator.NewKVStore(), requests})
@@ -39,8 +40,8 @@
 	}
 }
 
-// BenchmarkDigests measures what it costs a member to sum up 100,000 attempts for all
-// others.
+// BenchmarkDigests measures the cost of computing a member's digests of 100,000
+// attempts for all other members.
 func BenchmarkDigests(b *testing.B) {
 	store, err := disk.Open(disk.Options{Dir: b.TempDir()})
 	if err != nil {
--- a/internal/outputs/cluster/digest.go
+++ b/internal/outputs/cluster/digest.go
@@ -11,30 +11,31 @@
 	pb "reedtrack/internal/outputs/outputsv1"
 )
 
-// DigestBuckets is the number of digests that two members exchange about what both
-// should hold. An attempt belongs to one bucket, by the hash of its key. More buckets
-// narrow a difference down to fewer attempts, at 8 bytes a bucket.
+// DigestBuckets is the number of digests that two members exchange for the attempts
+// that both should hold. The hash of its key assigns each attempt to a bucket. More
+// buckets narrow a difference down to fewer attempts, at 8 bytes per bucket.
 const DigestBuckets = 1024
 
-// maxAttemptsPerMessage bounds the attempts in one answer and in one request to a peer.
+// maxAttemptsPerMessage limits the attempts in one response or request between members.
 const maxAttemptsPerMessage = 1000
 
-// digestSet is what this member holds, summed up for every other member by its name.
+// digestSet holds the digests of this member's attempts, by the name of the member
+// that they are compared with.
 type digestSet struct {
 	computedAt      time.Time
 	computeDuration time.Duration
-	version         uint64              // of the store
-	buckets         map[string][]uint64 // of what both should hold
-	surplus         map[string]uint64   // attempts that only the other should hold
+	version         uint64              // store version that the digests were computed from
+	buckets         map[string][]uint64 // digests of the attempts that both members should hold
+	surplus         map[string]uint64   // number of attempts that only the other member should hold
 }
 
-// digestCacheTTL is when digests for a view that is no longer asked for go.
+// digestCacheTTL is how long digests stay cached after they were computed.
 const digestCacheTTL = time.Minute
 
-// digestsFor sums up what this member holds, for all others in one pass over the
-// store. A result is used for ten times as long as it took to compute, so that
-// digests take at most a tenth of the time; a difference that an old result does not
-// show is found in the next round.
+// digestsFor computes the digests for all other members in one pass over the store. A
+// result is reused for ten times as long as it took to compute, so that computing
+// digests takes at most a tenth of the time. A difference that a cached result misses
+// is found in the next round.
 func (n *Node) digestsFor(v *View, factor int) *digestSet {
 	name := fmt.Sprint(factor, v.Members)
 	version := n.store.Version()
@@ -65,7 +66,7 @@
 	return set
 }
 
-// add counts an attempt that this member holds, given the members that should.
+// add adds an attempt that this member holds, given the members that should hold it.
 func (s *digestSet) add(v *View, self int, replicas []int, bucket int, fingerprint uint64) {
 	isReplica := slices.Contains(replicas, self)
 	for _, i := range replicas {
@@ -86,8 +87,8 @@
 
 func bucketOf(key []byte) int { return int(xxhash.Sum64(key) % DigestBuckets) }
 
-// Digests answers a peer that begins a round of repair: digests of what this member
-// holds and both should.
+// Digests returns the digests that a peer requests at the start of a repair round:
+// those of the attempts that this member holds and both should hold.
 func (n *Node) Digests(q *pb.DigestsRequest) *pb.DigestsResponse {
 	set := n.digestsFor(viewFromProto(q.Members), int(q.Copies))
 	buckets := set.buckets[q.Owner]
@@ -97,8 +98,8 @@
 	return &pb.DigestsResponse{Buckets: buckets, Surplus: set.surplus[q.Owner]}
 }
 
-// Bucket answers a peer whose digests differ: the attempts of some buckets, or with
-// Surplus those that the peer should hold and this member should not.
+// Bucket lists attempts for a peer whose digests differ: those in the requested
+// buckets, or with Surplus those that the peer should hold and this member should not.
 func (n *Node) Bucket(q *pb.BucketRequest) *pb.BucketResponse {
 	v := viewFromProto(q.Members)
 	self, owner := v.Index(n.membership.Self.Name), v.Index(q.Owner)
@@ -127,7 +128,7 @@
 	return answer
 }
 
-// heldLocally returns what this member holds of some attempts.
+// heldLocally describes the replicas that this member holds of the given attempts.
 func (n *Node) heldLocally(keys [][]byte) []*pb.Held {
 	var held []*pb.Held
 	for _, key := range keys {
--- a/internal/outputs/cluster/golden_test.go
+++ b/internal/outputs/cluster/golden_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// Members of all versions read each other's keys. A field renamed without its former
-// JSON name, or another prefix, fails here.
+// Members of different versions read each other's keys, so the JSON field names and
+// the key prefix must not change.
 func TestMemberGolden(t *testing.T) {
 	const want = `o/member/s2 {"name":"s2","zone":"s3","address":"s4","id":"s5"}`
 	m := Member{Name: "s2", Zone: "s3", Address: "s4", ID: "s5"}
--- a/internal/outputs/cluster/health.go
+++ b/internal/outputs/cluster/health.go
@@ -7,19 +7,19 @@
 	"connectrpc.com/connect"
 )
 
-// A peer that does not answer is not asked again for a time that doubles with each
-// failure between these bounds. The lower one outlasts a short pause of the peer;
-// the upper one is how late its return is noticed.
+// Requests to a peer that does not answer are suspended for a time that doubles with
+// each failure between these bounds. The lower bound outlasts a short pause of the
+// peer; the upper bound limits how late its recovery is noticed.
 const (
 	minPeerBackoff = 500 * time.Millisecond
 	maxPeerBackoff = 5 * time.Second
 )
 
-// peerHealth remembers which peers did not answer lately. While a peer backs off,
+// peerHealth tracks which peers recently failed to answer. While a peer is in backoff,
 // writes go to the next member of the preference list.
 type peerHealth struct {
 	mu       sync.Mutex
-	backoffs map[string]*peerBackoff // by address: a peer that returns at another one starts afresh
+	backoffs map[string]*peerBackoff // by address: a peer that returns at a new address has no backoff
 }
 
 type peerBackoff struct {
@@ -27,8 +27,8 @@
 	until time.Time
 }
 
-// isUnreachable reports whether an error means that the peer did not answer, rather
-// than that it refused.
+// isUnreachable reports whether an error means that the peer did not answer, as
+// opposed to having refused the request.
 func isUnreachable(err error) bool {
 	switch connect.CodeOf(err) {
 	case connect.CodeUnavailable, connect.CodeDeadlineExceeded, connect.CodeUnknown, connect.CodeCanceled, connect.CodeInternal:
@@ -37,7 +37,7 @@
 	return false
 }
 
-// record notes how a request to a peer ended.
+// record updates a peer's backoff with the outcome of a request.
 func (h *peerHealth) record(m Member, err error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -52,13 +52,13 @@
 	}
 	now := time.Now()
 	if now.Before(b.until) {
-		return // several requests failed together: that counts once
+		return // concurrent requests that fail together count as one failure
 	}
 	b.wait = nextBackoff(b.wait, minPeerBackoff, maxPeerBackoff)
 	b.until = now.Add(b.wait)
 }
 
-// isAvailable reports whether a peer is worth asking now.
+// isAvailable reports whether a peer is not in backoff.
 func (h *peerHealth) isAvailable(m Member) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/outputs/cluster/limits.go
+++ b/internal/outputs/cluster/limits.go
@@ -8,20 +8,21 @@
 	"golang.org/x/time/rate"
 )
 
-// Limits bound what writers may send; 0 means no bound.
+// Limits restrict what writers may send; 0 means no limit.
 type Limits struct {
-	AttemptBytes  uint64 // of one attempt's output, before compression
-	AttemptRate   uint64 // bytes a second of one attempt
-	ArtefactBytes uint64 // of one attempt's artefacts
-	TeamRate      uint64 // bytes a second of one team through one member
-	TeamBytes     uint64 // of one team on one member's disk
-	StoreRate     uint64 // bytes a second of all teams through one member
+	AttemptBytes  uint64 // output of one attempt, before compression
+	AttemptRate   uint64 // bytes per second of one attempt
+	ArtefactBytes uint64 // artefacts of one attempt
+	TeamRate      uint64 // bytes per second of one team through one member
+	TeamBytes     uint64 // bytes of one team on one member's disk
+	StoreRate     uint64 // bytes per second of all teams through one member
 }
 
-// LimitError says that a write goes beyond a limit.
+// LimitError reports that a write exceeds a limit.
 type LimitError struct {
 	Reason string
-	// RetryAfter is when the write may be admitted; 0: waiting does not help.
+	// RetryAfter is the delay after which the write may be admitted; 0 means that
+	// retrying does not help.
 	RetryAfter time.Duration
 }
 
@@ -29,19 +30,19 @@
 func (e *LimitError) Error() string { return e.Reason }
 
 const (
-	// bucketIdleTimeout is when a rate that nobody uses is forgotten. Its bucket refills
-	// within two seconds, so forgetting it gives nothing away.
+	// bucketIdleTimeout is how long an unused token bucket is kept. A bucket refills
+	// within two seconds, so discarding it does not relax the limit.
 	bucketIdleTimeout = 2 * time.Minute
-	// bucketSweepInterval is the time between two searches for idle rates.
+	// bucketSweepInterval is the time between two removals of idle token buckets.
 	bucketSweepInterval = time.Minute
-	// minBurst is at least one block with its fields, however small the rate.
+	// minBurst is the smallest burst; a whole block with its fields fits into it.
 	minBurst = 2 << 20
-	// attemptSlackBytes may follow an attempt's limit, since its writer keeps the
-	// end of the output that it leaves out.
+	// attemptSlackBytes is what an attempt may store beyond its limit, because the
+	// writer still sends the end of the output that it truncates.
 	attemptSlackBytes = 2 << 20
 )
 
-// limiter holds the token buckets of teams and attempts.
+// limiter holds the token buckets of teams, attempts and the whole store.
 type limiter struct {
 	limits  Limits
 	mu      sync.Mutex
@@ -59,8 +60,8 @@
 }
 
 // reserve takes bytes from a token bucket, or returns a [LimitError]. A request that
-// is larger than the burst is admitted when the bucket is full, and the requests
-// after it pay for the rest.
+// is larger than the burst is admitted when the bucket is full and takes only the
+// burst from it.
 func (l *limiter) reserve(key, subject string, bytesPerSecond uint64, bytes int, now time.Time) error {
 	if bytesPerSecond == 0 {
 		return nil
@@ -84,7 +85,7 @@
 	return nil
 }
 
-// sweep forgets idle rates. The caller holds mu.
+// sweep removes idle token buckets. The caller holds mu.
 func (l *limiter) sweep(now time.Time) {
 	if now.Sub(l.sweptAt) <= bucketSweepInterval {
 		return
@@ -97,7 +98,8 @@
 	}
 }
 
-// admitWrite returns a [LimitError] if a team may not send bytes to an attempt now.
+// admitWrite returns a [LimitError] if a write of the given size to an attempt exceeds
+// a limit.
 func (n *Node) admitWrite(key []byte, team string, bytes int) error {
 	now := time.Now()
 	l := n.limiter
@@ -113,7 +115,7 @@
 			}
 		}
 	}
-	// Twice the rate: the writer keeps to the rate itself, by its own clock.
+	// Twice the rate, because the writer limits itself to the rate by its own clock.
 	if err := l.reserve("a/"+string(key), "the attempt", 2*l.limits.AttemptRate, bytes, now); err != nil {
 		return err
 	}
--- a/internal/outputs/cluster/limits_test.go
+++ b/internal/outputs/cluster/limits_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// A team over its rate is refused by name and told when to retry; what is within the
-// rate is admitted, and another team is not affected.
+// Writes of a team beyond its rate are refused with the team's name and a retry delay.
+// Writes within the rate are admitted, and other teams are not affected.
 func TestLimiterRefusesOneTeamOverItsRate(t *testing.T) {
 	l := newLimiter(Limits{})
 	now := time.Unix(1e6, 0)
--- a/internal/outputs/cluster/list.go
+++ b/internal/outputs/cluster/list.go
@@ -14,12 +14,12 @@
 )
 
 const (
-	defaultListLimit = 100                   // attempts on a page for a reader who does not say
-	maxListLimit     = maxAttemptsPerMessage // whatever a reader says
+	defaultListLimit = 100                   // attempts per page if the request sets no limit
+	maxListLimit     = maxAttemptsPerMessage // maximum attempts per page
 )
 
-// List lists attempts of a job over all members, by key. Members that did not answer
-// are named: what only they hold is missing.
+// List lists the attempts of a job on all members, ordered by key. The response names
+// the members that did not answer; attempts that only they hold are missing from it.
 func (n *Node) List(ctx context.Context, team string, q *pb.ListRequest) (*pb.ListResponse, error) {
 	ctx, span := tracer.Start(ctx, "list")
 	defer span.End()
@@ -51,7 +51,7 @@
 	return answer, nil
 }
 
-// scanMembers gets the same page from all members.
+// scanMembers requests the same page from all members.
 func (n *Node) scanMembers(ctx context.Context, scan *pb.ScanRequest) (pages []*pb.ScanResponse, unreachable []string) {
 	var mu sync.Mutex
 	unreachable = n.forEachMember(ctx, func(ctx context.Context, _ Member, p Peer) error {
@@ -71,10 +71,10 @@
 	return pages, unreachable
 }
 
-// mergePages merges the pages of several members, and returns the keys in order up to
-// where all pages are known, what is held by key, and whether any member has more.
+// mergePages merges the pages of several members. It returns the sorted keys of the
+// range that all pages cover, the held replicas by key, and whether any member has more.
 func mergePages(pages []*pb.ScanResponse) (keys []string, byKey map[string][]*pb.Held, more bool) {
-	// A member that has more says nothing of what comes after its last key.
+	// A page with more to come does not cover the keys after its last one.
 	var bound []byte
 	byKey = map[string][]*pb.Held{}
 	for _, page := range pages {
@@ -94,9 +94,9 @@
 	return keys, byKey, bound != nil
 }
 
-// addHeldElsewhere adds what all members hold of some attempts: one that is open on
-// a member that has not received the seal yet may be sealed on another, which does
-// not list it among the open.
+// addHeldElsewhere adds the replicas that all members hold of the given attempts. An
+// attempt that is open on a member without the seal may be sealed on another, which
+// does not list it as open.
 func (n *Node) addHeldElsewhere(ctx context.Context, keys []string, byKey map[string][]*pb.Held) {
 	var wanted [][]byte
 	for _, key := range keys {
@@ -114,7 +114,7 @@
 	})
 }
 
-// Scan lists what this member holds of a job, or of one of its tasks.
+// Scan lists the attempts of a job, or of one of its tasks, that this member holds.
 func (n *Node) Scan(q *pb.ScanRequest) *pb.ScanResponse {
 	limit := int(min(max(q.Limit, 1), maxListLimit))
 	page := new(pb.ScanResponse)
@@ -129,7 +129,7 @@
 	return page
 }
 
-// scanPrefixes returns what the keys of the attempts asked for begin with, in order.
+// scanPrefixes returns the key prefixes of the requested attempts, in order.
 func (n *Node) scanPrefixes(q *pb.ScanRequest) [][]byte {
 	if q.Task == nil {
 		return [][]byte{outputs.JobPrefix(q.Job, q.Team)}
--- a/internal/outputs/cluster/lookup.go
+++ b/internal/outputs/cluster/lookup.go
@@ -15,8 +15,8 @@
 	pb "reedtrack/internal/outputs/outputsv1"
 )
 
-// forEachMember calls visit for every member at once and returns the names of those
-// for which it failed, or that back off. For this member itself the peer is nil.
+// forEachMember calls visit for all members concurrently and returns the names of the
+// members for which it failed or that are in backoff. The peer is nil for this member.
 func (n *Node) forEachMember(ctx context.Context, visit func(ctx context.Context, m Member, p Peer) error) (unreachable []string) {
 	var mu sync.Mutex
 	var wg sync.WaitGroup
@@ -44,14 +44,14 @@
 	return n.call(ctx, m, func(ctx context.Context, p Peer) error { return visit(ctx, m, p) })
 }
 
-// replica is what one member holds of an attempt.
+// replica describes the data that one member holds of an attempt.
 type replica struct {
 	member Member
 	held   *pb.Held
 }
 
-// replicas finds the replicas of an attempt, the best first. If this member's own is
-// complete nobody else is asked, unless all is set.
+// replicas finds the replicas of an attempt, best first. If the local replica is
+// complete, other members are asked only if all is set.
 func (n *Node) replicas(ctx context.Context, key []byte, all bool) (list []replica, unreachable []string) {
 	if held := n.store.Held(key); held != nil && held.Complete && !all {
 		return []replica{{member: n.membership.Self, held: held}}, nil
@@ -71,8 +71,8 @@
 	return list, unreachable
 }
 
-// heldBy asks a peer, or this member if it is nil, what it holds of an attempt; nil:
-// nothing.
+// heldBy returns a peer's replica of an attempt, or the local one if the peer is nil.
+// The result is nil if there is none.
 func (n *Node) heldBy(ctx context.Context, p Peer, key []byte) (*pb.Held, error) {
 	if p == nil {
 		return n.store.Held(key), nil
@@ -84,8 +84,8 @@
 	return r.Msg.Held[0], nil
 }
 
-// compareReplicas orders replicas: this member's if it is complete, then other
-// complete ones, then by the number of records.
+// compareReplicas orders replicas: the local one if it is complete, then other
+// complete ones, then the others by descending number of records.
 func (n *Node) compareReplicas(a, b replica) int {
 	rank := func(r replica) int {
 		switch {
@@ -103,7 +103,7 @@
 	)
 }
 
-// mergeHeld returns what several members together hold of one attempt.
+// mergeHeld merges the replicas of one attempt on several members.
 func mergeHeld(list []*pb.Held) *pb.Held {
 	best := list[0]
 	var spans outputs.Spans
@@ -128,8 +128,9 @@
 	return merged
 }
 
-// isBetterSummary reports whether one replica's summary tells more than another's: a
-// seal tells more than none, and the counts of a complete replica are right.
+// isBetterSummary reports whether a's summary is preferred to b's. Complete replicas
+// are preferred because their counts are exact, then sealed ones, then those with more
+// records.
 func isBetterSummary(a, b *pb.Held) bool {
 	if a.Complete != b.Complete {
 		return a.Complete
@@ -164,8 +165,8 @@
 	return answer, nil
 }
 
-// notFound returns the error for what no member holds that answered: that it does not
-// exist, or that this can't be known.
+// notFound returns the error for an item that no responding member holds: that it does
+// not exist, or, if members are unreachable, that its existence is unknown.
 func notFound(unreachable []string) error {
 	if len(unreachable) > 0 {
 		return ErrUnavailable
@@ -173,8 +174,7 @@
 	return disk.ErrNotFound
 }
 
-// sealFrom reads an attempt's seal, and what is known of its beginning, from one
-// member.
+// sealFrom reads an attempt's seal and the metadata of its start from one member.
 func (n *Node) sealFrom(ctx context.Context, m Member, key []byte) (*pb.Seal, *pb.Meta, error) {
 	if n.isSelf(m) {
 		seal, meta := n.store.Seal(key)
@@ -188,7 +188,7 @@
 }
 
 // Chunk returns the data of a chunk of a team's artefacts from any member that has
-// it. The route says which members are the likeliest.
+// it. Members are tried in the preference order of the route, this member first.
 func (n *Node) Chunk(ctx context.Context, team string, hash, route []byte) ([]byte, error) {
 	v := n.membership.View()
 	order := v.PreferenceList(route)
@@ -227,13 +227,13 @@
 	return answer.Chunk, nil
 }
 
-// LocalStatus tells how full this member is.
+// LocalStatus returns the storage usage of this member.
 func (n *Node) LocalStatus() *pb.StatusResponse {
 	stats := n.store.Stats()
 	return &pb.StatusResponse{Full: stats.Full, Attempts: stats.Attempts, DiskBytes: stats.DiskBytes}
 }
 
-// Status describes all members as this one sees them.
+// Status describes all members as seen by this one.
 func (n *Node) Status(ctx context.Context) *pb.MembersResponse {
 	v := n.membership.View()
 	answer := &pb.MembersResponse{Members: v.toProto(), Self: n.membership.Self.Name, StateKnown: n.membership.IsCurrent()}
--- a/internal/outputs/cluster/membercache.go
+++ b/internal/outputs/cluster/membercache.go
@@ -8,8 +8,8 @@
 	"path/filepath"
 )
 
-// LoadCache takes the cached members as the view, which stands until the key-value
-// store has answered. A member that is alone needs no cache.
+// LoadCache sets the view to the cached members, until the key-value store has
+// answered. A member without a key-value store uses no cache.
 func (m *Membership) LoadCache() {
 	m.view = &View{Members: []Member{m.Self}, Confirmed: m.KeyValueStore == nil}
 	m.changed = make(chan struct{})
@@ -30,7 +30,7 @@
 	m.view.Members = m.withSelf(list)
 }
 
-// saveCache writes a view for the next start.
+// saveCache writes a view to the cache file, for the next start.
 func (m *Membership) saveCache(v *View) {
 	if m.CacheFile == "" {
 		return
--- a/internal/outputs/cluster/membership.go
+++ b/internal/outputs/cluster/membership.go
@@ -16,15 +16,16 @@
 	"reedtrack/internal/storage"
 )
 
-// KeyPrefix begins the members' keys in the key-value store. The controllers keep
-// nothing there and read nothing from it.
+// KeyPrefix is the prefix of the members' keys in the key-value store. The controllers
+// neither read nor write keys with this prefix.
 const KeyPrefix = "o/member/"
 
-// minRetryWait is the first wait after a request to the key-value store that
-// failed; the waits grow up to half a lease.
+// minRetryWait is the first wait after a failed request to the key-value store; waits
+// grow up to half the lease duration.
 const minRetryWait = 200 * time.Millisecond
 
-// KeyValueStore is what membership needs of the consensus-backed key-value store.
+// KeyValueStore is the part of the consensus-backed key-value store that membership
+// uses.
 type KeyValueStore interface {
 	GrantLease(ctx context.Context, life time.Duration) (uint64, error)
 	RenewLease(ctx context.Context, hold uint64) error
@@ -36,26 +37,26 @@
 
 // Membership registers this member in the key-value store under a lease, and watches
 // the other members. While the key-value store does not answer, the last known view
-// stays in force; it is also cached in a file for the next start.
+// stays in use; it is also cached in a file for the next start.
 //
-// The exported fields are set before [Membership.LoadCache], which comes before any
-// other method.
+// The exported fields must be set before [Membership.LoadCache], which must be called
+// before any other method.
 type Membership struct {
 	Self          Member
-	KeyValueStore KeyValueStore // nil: this member is alone
+	KeyValueStore KeyValueStore // nil: single-member cluster
 	LeaseDuration time.Duration
-	WatchPause    func(members int) time.Duration // between two watch requests; nil: none
+	WatchPause    func(members int) time.Duration // pause between two watch requests; nil: none
 	CacheFile     string                          // empty: the view is not cached
 
 	mu          sync.Mutex
 	view        *View
-	confirmedAt time.Time // when the request was sent whose answer the view is
-	joinedAt    time.Time // since when the lease is held; zero: it is not
+	confirmedAt time.Time // when the request that returned the view was sent
+	joinedAt    time.Time // when the member was registered; zero: not registered
 	changed     chan struct{}
 	problem     string
 }
 
-// errNameTaken says that another store has the name.
+// errNameTaken means that another store is registered under the same name.
 var errNameTaken = errors.New("another store has this name")
 
 // View returns the current view. It must not be modified.
@@ -65,7 +66,7 @@
 	return m.view
 }
 
-// Changed returns a channel that is closed when the view changes next.
+// Changed returns a channel that is closed at the next change of the view.
 func (m *Membership) Changed() <-chan struct{} {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -73,7 +74,8 @@
 }
 
 // IsCurrent reports whether this member is registered and its view was confirmed
-// by the key-value store within about a lease. Replicas may be dropped only then.
+// by the key-value store within about one lease duration. Replicas may be dropped
+// only while it is current.
 func (m *Membership) IsCurrent() bool {
 	pause := m.watchPause()
 	m.mu.Lock()
@@ -81,12 +83,12 @@
 	if m.KeyValueStore == nil {
 		return true
 	}
-	// A watch takes half a lease at most, with a pause before and after it.
+	// A watch takes at most half the lease duration, with a pause before and after it.
 	age := time.Since(m.confirmedAt)
 	return m.view.Confirmed && age < m.LeaseDuration+2*pause && !m.joinedAt.IsZero()
 }
 
-// Problem says why this member is not registered; empty: it is.
+// Problem returns why this member is not registered, or "" if it is.
 func (m *Membership) Problem() string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -111,8 +113,8 @@
 	wg.Wait()
 }
 
-// join takes a lease, registers under it and renews it, and begins again when the
-// lease has expired.
+// join acquires a lease, registers this member under it and renews it. When the lease
+// expires, it starts over.
 func (m *Membership) join(ctx context.Context) {
 	for wait := time.Duration(0); ctx.Err() == nil; wait = m.retryWait(wait) {
 		if !sleep(ctx, wait) {
@@ -146,7 +148,8 @@
 	m.joinedAt = time.Time{}
 }
 
-// recordProblem keeps the error for [Membership.Problem], and logs it once.
+// recordProblem stores an error for [Membership.Problem], and logs it if it differs
+// from the last one.
 func (m *Membership) recordProblem(err error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -156,8 +159,8 @@
 	}
 }
 
-// register writes this member's key under a lease. It replaces the key of an earlier
-// process on the same data directory, but not that of another store.
+// register writes this member's key under a lease. It overwrites the key of a previous
+// process with the same data directory, but not that of another store.
 func (m *Membership) register(ctx context.Context, lease uint64) error {
 	key := KeyPrefix + m.Self.Name
 	precondition := protocol.Precondition{Key: key}
@@ -179,8 +182,8 @@
 	return err
 }
 
-// renew keeps the lease until it has expired. Other errors are passed over: the
-// next renewal, a third of the lease later, may still be in time.
+// renew renews the lease until it has expired. Other errors are ignored: the next
+// renewal, a third of the lease duration later, may still be in time.
 func (m *Membership) renew(ctx context.Context, lease uint64) {
 	for sleep(ctx, m.LeaseDuration/3) {
 		err := m.KeyValueStore.RenewLease(ctx, lease)
@@ -191,8 +194,7 @@
 	}
 }
 
-// watch lists all members and then follows the changes, and begins again after an
-// error.
+// watch lists all members and then watches for changes. After an error it starts over.
 func (m *Membership) watch(ctx context.Context) {
 	for wait := time.Duration(0); ctx.Err() == nil; wait = m.retryWait(wait) {
 		if !sleep(ctx, wait) {
@@ -206,7 +208,7 @@
 		m.publish(list, sent)
 		for err == nil && sleep(ctx, m.watchPause()) {
 			var changes protocol.WatchResponse
-			// Answered within half a lease, so that IsCurrent means something.
+			// The watch returns within half the lease duration, as IsCurrent requires.
 			sent := time.Now()
 			changes, err = m.KeyValueStore.Watch(ctx, KeyPrefix, revision, m.LeaseDuration/2)
 			if err != nil {
@@ -220,7 +222,7 @@
 	}
 }
 
-// applyChanges returns the list of members after some changes of their keys.
+// applyChanges applies changes of members' keys to a list of members.
 func applyChanges(list []Member, changes protocol.WatchResponse) []Member {
 	for _, c := range changes.Changes {
 		name := strings.TrimPrefix(c.Put+c.Delete, KeyPrefix)
@@ -233,7 +235,7 @@
 	return list
 }
 
-// listMembers reads all members, and the revision from which on to watch.
+// listMembers reads all members and the revision to start watching from.
 func (m *Membership) listMembers(ctx context.Context) (list []Member, revision uint64, err error) {
 	after := ""
 	for {
@@ -242,7 +244,7 @@
 			return nil, 0, err
 		}
 		if revision == 0 {
-			revision = page.Revision // what changes from the first page on is watched
+			revision = page.Revision // the watch covers all changes since the first page
 		}
 		for _, item := range page.Items {
 			after = item.Key
@@ -259,8 +261,8 @@
 	}
 }
 
-// publish makes a list of members the view. This member is always in its own view,
-// whatever became of its lease: it would rather hold a replica too many.
+// publish sets the view to a list of members. A member is always in its own view, even
+// if its lease has expired: this errs on the side of too many replicas.
 func (m *Membership) publish(list []Member, sent time.Time) {
 	v := &View{Members: m.withSelf(list), Confirmed: true}
 	m.mu.Lock()
@@ -280,7 +282,7 @@
 	m.saveCache(v)
 }
 
-// withSelf returns a list of members by name, with this member's own record in it.
+// withSelf returns a list of members sorted by name that includes this member.
 func (m *Membership) withSelf(list []Member) []Member {
 	list = slices.DeleteFunc(slices.Clone(list), func(x Member) bool { return x.Name == m.Self.Name })
 	return sortedByName(append(list, m.Self))
@@ -299,19 +301,19 @@
 	return m.WatchPause(len(m.View().Members))
 }
 
-// retryWait returns the wait that follows another one.
+// retryWait returns the wait before the next retry, given the previous wait.
 func (m *Membership) retryWait(wait time.Duration) time.Duration {
 	return nextBackoff(wait, minRetryWait, m.LeaseDuration/2)
 }
 
-// nextBackoff doubles a wait between bounds and adds up to half of it at random, so
-// that members that fail together do not return together.
+// nextBackoff doubles a wait within bounds and adds up to half of it as random jitter,
+// so that members that fail together do not retry together.
 func nextBackoff(wait, lower, upper time.Duration) time.Duration {
 	wait = min(max(2*wait, lower), upper)
 	return wait + rand.N(wait/2+1)
 }
 
-// sleep waits, and reports whether the context still holds.
+// sleep waits for a duration and reports whether the context is not done.
 func sleep(ctx context.Context, d time.Duration) bool {
 	if d <= 0 {
 		return ctx.Err() == nil
--- a/internal/outputs/cluster/membership_test.go
+++ b/internal/outputs/cluster/membership_test.go
@@ -14,7 +14,7 @@
 	"reedtrack/internal/storage"
 )
 
-// requestCounter counts the requests that a handler gets.
+// requestCounter counts the requests to a handler.
 type requestCounter struct {
 	next http.Handler
 	n    *atomic.Int64
@@ -25,8 +25,9 @@
 	c.next.ServeHTTP(w, r)
 }
 
-// Members notice each other, idle members stay within their part of the key-value
-// store's requests, and in an outage the last view stays but is no longer current.
+// Members discover each other, idle members stay within their share of the key-value
+// store's request rate, and during an outage the last view stays in use but is no
+// longer current.
 func TestMembershipStaysWithinRequestBudget(t *testing.T) {
 	state := emulator.NewKVStore()
 	requests := new(atomic.Int64)
@@ -57,7 +58,7 @@
 	}
 	requests.Store(0)
 	time.Sleep(2 * time.Second)
-	// Renewals 1.5 a second and watches at most 1 a second and member.
+	// Each member renews 1.5 times and watches at most once per second.
 	if got := requests.Load(); got > 2*n*4 {
 		t.Errorf("%d requests in 2 s of %d idle members", got, n)
 	}
--- a/internal/outputs/cluster/node.go
+++ b/internal/outputs/cluster/node.go
@@ -20,33 +20,33 @@
 // Peer is the client of another member.
 type Peer = outputsv1connect.PeerServiceClient
 
-// Options configure a [Node]. All have to be set; package settings has the defaults.
+// Options configure a [Node]. All fields must be set; package settings has defaults.
 type Options struct {
 	ReplicationFactor    int
 	CallTimeout          time.Duration // of one request to a peer
-	RepairInterval       time.Duration // between two rounds of anti-entropy repair
-	RepairDelay          time.Duration // from the loss of a member until its replicas are copied again
+	RepairInterval       time.Duration // between rounds of anti-entropy repair
+	RepairDelay          time.Duration // from the loss of a member until its replicas are copied to others
 	RepairBytesPerSecond int
-	ScrubBytesPerSecond  int // of scrub and of compaction, each
+	ScrubBytesPerSecond  int // for scrub and compaction each
 	ScrubInterval        time.Duration
 	// PinDuration is how long a replica is kept after it was confirmed to another
-	// member, which may drop its own on the strength of that.
+	// member, which may then drop its own.
 	PinDuration time.Duration
-	// Retention returns how long outputs of a team and job class are kept; 0: for
-	// ever.
+	// Retention returns how long outputs of a team and job class are kept; 0 means
+	// forever.
 	Retention           func(team, class string) time.Duration
 	Limits              Limits
 	Dial                func(Member) Peer
-	MaintenanceInterval time.Duration // between two rounds of expiry, dropping and compaction
+	MaintenanceInterval time.Duration // between rounds of expiry, removal of surplus replicas and compaction
 }
 
-// Burst sizes of the background limiters: a whole block has to fit.
+// Minimum burst sizes of the background limiters. A whole block must fit.
 const (
 	minRepairBurst = 8 << 20
 	minScrubBurst  = 1 << 20
 )
 
-// Node is this member: its store and its part of the cluster.
+// Node is this member of the cluster, with its store.
 type Node struct {
 	options       Options
 	store         *disk.Store
@@ -62,7 +62,7 @@
 	peers  map[string]peerClient // by member name
 
 	pinMu sync.Mutex
-	pins  map[string]time.Time // by key: until when other members may rely on this replica
+	pins  map[string]time.Time // by key: time until which other members may rely on the local replica
 
 	digestMu    sync.Mutex
 	digestCache map[string]*digestSet // by replication factor and view
@@ -73,7 +73,7 @@
 	peer    Peer
 }
 
-// ErrUnavailable says that no member answered that could have.
+// ErrUnavailable means that none of the members that could serve a request answered.
 var ErrUnavailable = errors.New("no store that could answer did")
 
 var tracer = otel.Tracer("reedtrack/outputs")
@@ -98,16 +98,16 @@
 // Store returns the store of this member.
 func (n *Node) Store() *disk.Store { return n.store }
 
-// Membership returns what this member knows of the cluster.
+// Membership returns the cluster membership of this member.
 func (n *Node) Membership() *Membership { return n.membership }
 
 // ReplicationFactor returns how many members should hold each attempt.
 func (n *Node) ReplicationFactor() int { return n.options.ReplicationFactor }
 
-// Limits returns the limits of writers.
+// Limits returns the limits that apply to writers.
 func (n *Node) Limits() Limits { return n.options.Limits }
 
-// Run keeps up membership, repair, maintenance and scrubbing until the context ends.
+// Run runs membership, repair, maintenance and scrubbing until the context is done.
 func (n *Node) Run(ctx context.Context) {
 	var wg sync.WaitGroup
 	for _, loop := range []func(context.Context){n.membership.Run, n.repairLoop, n.maintenanceLoop, n.scrubLoop} {
@@ -116,7 +116,7 @@
 	wg.Wait()
 }
 
-// peer returns the client of a member, and dials anew if its address changed.
+// peer returns the client of a member, and creates a new one if its address changed.
 func (n *Node) peer(m Member) Peer {
 	n.peerMu.Lock()
 	defer n.peerMu.Unlock()
@@ -130,13 +130,12 @@
 
 func (n *Node) isSelf(m Member) bool { return m.Name == n.membership.Self.Name }
 
-// call sends a request to a peer under the call timeout and records the peer's
-// health.
+// call sends a request to a peer with the call timeout and updates the peer's backoff.
 func (n *Node) call(ctx context.Context, m Member, send func(ctx context.Context, p Peer) error) error {
 	callCtx, cancel := context.WithTimeout(ctx, n.options.CallTimeout)
 	defer cancel()
 	err := send(callCtx, n.peer(m))
-	if ctx.Err() == nil || err == nil { // a caller that gave up says nothing about the peer
+	if ctx.Err() == nil || err == nil { // a canceled call says nothing about the peer's health
 		n.health.record(m, err)
 	}
 	return err
@@ -145,7 +144,7 @@
 // peerMethod is a unary method of the peer service, such as Peer.Held.
 type peerMethod[Q, R any] func(Peer, context.Context, *connect.Request[Q]) (*connect.Response[R], error)
 
-// callPeer sends one unary request by [Node.call].
+// callPeer sends one unary request with [Node.call].
 func callPeer[Q, R any](ctx context.Context, n *Node, m Member, method peerMethod[Q, R], request *Q) (*R, error) {
 	var answer *R
 	err := n.call(ctx, m, func(ctx context.Context, p Peer) error {
@@ -158,7 +157,8 @@
 	return answer, err
 }
 
-// maintenanceLoop drops what is expired or held elsewhere, and compacts the disk.
+// maintenanceLoop periodically drops expired and over-replicated attempts, removes
+// orphan chunks and compacts the disk.
 func (n *Node) maintenanceLoop(ctx context.Context) {
 	limiter := n.newScrubLimiter()
 	for sleep(ctx, n.options.MaintenanceInterval) {
@@ -186,8 +186,8 @@
 	}
 }
 
-// scrubLoop reads the whole disk once per interval, to find damage while another
-// replica is still good.
+// scrubLoop scrubs the disk once per interval, to find damage while another replica
+// is still intact.
 func (n *Node) scrubLoop(ctx context.Context) {
 	for sleep(ctx, n.options.ScrubInterval) {
 		if err := n.Scrub(ctx); err != nil && ctx.Err() == nil {
@@ -196,9 +196,9 @@
 	}
 }
 
-// Scrub reads the whole disk once. What is damaged counts as missing, so that repair
-// copies it again; so does an attempt that does not match its seal, if another
-// member has a complete replica.
+// Scrub reads and verifies the whole disk once. Damaged entries count as missing, so
+// that repair copies them again. An attempt that does not match its seal is invalidated
+// if another member has a complete replica.
 func (n *Node) Scrub(ctx context.Context) error {
 	found, err := n.store.Scrub(ctx, throttle(n.newScrubLimiter()))
 	for _, key := range found.Mismatched {
@@ -221,8 +221,8 @@
 	return rate.NewLimiter(rate.Limit(bytesPerSecond), max(bytesPerSecond, minScrubBurst))
 }
 
-// throttle returns a function that waits until a limiter admits bytes, in pieces of
-// at most its burst.
+// throttle returns a function that waits until a limiter admits a number of bytes. It
+// reserves them in parts no larger than the limiter's burst.
 func throttle(l *rate.Limiter) func(ctx context.Context, bytes int) error {
 	return func(ctx context.Context, bytes int) error {
 		for bytes > 0 {
--- a/internal/outputs/cluster/overreplicated.go
+++ b/internal/outputs/cluster/overreplicated.go
@@ -11,24 +11,24 @@
 )
 
 // A replica on a member that should not hold it is dropped once every member that
-// should has confirmed that it holds all of it.
+// should hold it has confirmed a complete replica.
 //
-// Two members with different views could each take the other for a replica and drop
-// in turn. So a member that confirms keeps its replica for Options.PinDuration, and
-// a member that was confirmed to drops within confirmationValidity, which is shorter,
-// or asks again. A member that has just started has forgotten what it confirmed, and
-// drops nothing for PinDuration.
+// Two members with different views could each regard the other as the proper holder
+// and both drop their replicas. Therefore a member that confirms a replica pins it for
+// Options.PinDuration, and a confirmation may be acted on only within
+// confirmationValidity, which is shorter. Pins are not persistent, so a member drops
+// nothing for PinDuration after it has started.
 
-// confirmationValidity is how long a confirmation may be acted on. It has to be well
+// confirmationValidity is how long a confirmation may be acted on. It must be well
 // below Options.PinDuration, which is a minute by default.
 const confirmationValidity = 10 * time.Second
 
-// openAttemptIdleTimeout is how long nothing may have come for an open attempt before its
-// replica counts as surplus: its writer may still be sending here.
+// openAttemptIdleTimeout is how long an open attempt must be idle before its replica
+// can count as over-replicated: until then, its writer may still be sending here.
 const openAttemptIdleTimeout = 10 * time.Minute
 
-// dropOverReplicated drops the replicas that this member should not hold and the
-// others do.
+// dropOverReplicated drops the replicas that this member should not hold, once the
+// members that should hold them have confirmed theirs.
 func (n *Node) dropOverReplicated(ctx context.Context) {
 	v := n.membership.View()
 	if !n.membership.IsCurrent() || time.Since(n.started) < n.options.PinDuration || len(v.Members) < n.options.ReplicationFactor {
@@ -45,7 +45,7 @@
 	}
 }
 
-// overReplicatedKeys lists the attempts that this member holds and should not.
+// overReplicatedKeys lists the attempts that this member holds but should not.
 func (n *Node) overReplicatedKeys(v *View) [][]byte {
 	self := v.Index(n.membership.Self.Name)
 	now := time.Now()
@@ -63,13 +63,13 @@
 	return keys
 }
 
-// dropConfirmed drops those of some attempts that all members that should hold them
-// have confirmed, and returns how many.
+// dropConfirmed drops those of the given attempts that all members that should hold
+// them have confirmed, and returns their number.
 func (n *Node) dropConfirmed(ctx context.Context, v *View, keys [][]byte) int {
 	asked := time.Now()
 	confirmations := n.requestConfirmations(ctx, v, keys)
 	n.pinMu.Lock()
-	defer n.pinMu.Unlock() // nothing is confirmed to others during the drop
+	defer n.pinMu.Unlock() // no replica is confirmed to other members during the drop
 	if time.Since(asked) > confirmationValidity || !n.membership.IsCurrent() {
 		return 0
 	}
@@ -90,8 +90,8 @@
 	return len(drop)
 }
 
-// requestConfirmations asks the members that should hold some attempts whether they
-// do, and returns by key how many confirmed.
+// requestConfirmations asks the members that should hold the given attempts to confirm
+// their replicas, and returns the number of confirmations by key.
 func (n *Node) requestConfirmations(ctx context.Context, v *View, keys [][]byte) map[string]int {
 	confirmations := map[string]int{}
 	for i, m := range v.Members {
@@ -112,7 +112,7 @@
 		}
 		answer, err := callPeer(ctx, n, m, Peer.Confirm, request)
 		if err != nil {
-			continue // without its confirmation nothing of this is dropped
+			continue // unconfirmed attempts are not dropped
 		}
 		for j, confirmed := range answer.Held {
 			if confirmed && j < len(request.Held) {
@@ -123,8 +123,8 @@
 	return confirmations
 }
 
-// Confirm answers a member that would drop its replicas: for each, whether this
-// member should hold it and holds all that the other does. What it confirms it keeps
+// Confirm handles a request of a member that wants to drop its replicas. It confirms
+// each replica that this member should hold and that covers the other's, and pins it
 // for Options.PinDuration.
 func (n *Node) Confirm(q *pb.ConfirmRequest) *pb.ConfirmResponse {
 	v := n.membership.View()
@@ -149,7 +149,7 @@
 	return answer
 }
 
-// covers reports whether the local replica has all that a remote one has.
+// covers reports whether the local replica has all the data of a remote one.
 func covers(local, remote *pb.Held) bool {
 	if local == nil {
 		return false
--- a/internal/outputs/cluster/overreplicated_test.go
+++ b/internal/outputs/cluster/overreplicated_test.go
@@ -12,7 +12,7 @@
 	pb "reedtrack/internal/outputs/outputsv1"
 )
 
-// newHeld returns a replica that holds spans, given as pairs of bounds.
+// newHeld returns the description of a replica with spans, given as pairs of bounds.
 func newHeld(sealed, complete bool, bounds ...uint64) *pb.Held {
 	var spans outputs.Spans
 	for i := 0; i+1 < len(bounds); i += 2 {
@@ -21,8 +21,8 @@
 	return &pb.Held{Complete: complete, Summary: &pb.Summary{Sealed: sealed}, Spans: spans}
 }
 
-// A member that asks whether it may drop its replica gets a yes only if the local
-// replica has all of it.
+// A replica is confirmed to another member only if it has all the data of the other's
+// replica.
 func TestCoversNeedsEverythingTheOtherHolds(t *testing.T) {
 	for _, c := range []struct {
 		name          string
@@ -45,7 +45,7 @@
 	}
 }
 
-// confirmingPeer is a peer that confirms everything.
+// confirmingPeer is a peer that confirms every replica.
 type confirmingPeer struct{ Peer }
 
 func (confirmingPeer) Confirm(_ context.Context, r *connect.Request[pb.ConfirmRequest]) (*connect.Response[pb.ConfirmResponse], error) {
@@ -56,7 +56,7 @@
 	return connect.NewResponse(answer), nil
 }
 
-// keyPlacedOn returns the key of an attempt whose only replica belongs on a member.
+// keyPlacedOn returns the key of an attempt whose only replica is placed on a member.
 func keyPlacedOn(v *View, member int) []byte {
 	run := outputs.RunOf([]byte("0123456789abcdef"))
 	for task := uint32(0); ; task++ {
@@ -67,9 +67,9 @@
 	}
 }
 
-// Two members with different views could each drop their replica on the strength of
-// the other's: one that has confirmed its replica keeps it for a while, whoever
-// confirms it then.
+// Two members with different views must not both drop their replicas because of each
+// other's confirmation. A member that has confirmed a replica keeps it for PinDuration,
+// even if another member confirms its own in the meantime.
 func TestConfirmedReplicaIsPinned(t *testing.T) {
 	store, err := disk.Open(disk.Options{Dir: t.TempDir()})
 	if err != nil {
--- a/internal/outputs/cluster/pull.go
+++ b/internal/outputs/cluster/pull.go
@@ -13,8 +13,8 @@
 	pb "reedtrack/internal/outputs/outputsv1"
 )
 
-// pullAttempt copies what a peer holds of an attempt and this member misses. The seal
-// comes last: an attempt that is sealed here has all that the peer could give.
+// pullAttempt copies the data of an attempt that a peer holds and this member lacks.
+// The seal is stored last, so that a sealed attempt has all data that the peer had.
 func (n *Node) pullAttempt(ctx context.Context, m Member, remote *pb.Held) error {
 	ctx, span := tracer.Start(ctx, "repair", trace.WithAttributes(attribute.String("from", m.Name)))
 	defer span.End()
@@ -27,7 +27,7 @@
 	}
 	local := n.store.Held(remote.Key)
 	if local == nil {
-		return nil // dropped meanwhile
+		return nil // dropped concurrently
 	}
 	for _, x := range remote.Spans {
 		for _, gap := range outputs.Spans(local.Spans).Missing(x.From, x.To) {
@@ -48,7 +48,7 @@
 	return nil
 }
 
-// pullSpan copies a range of an attempt's records.
+// pullSpan copies a range of an attempt's records from a peer.
 func (n *Node) pullSpan(ctx context.Context, m Member, key []byte, gap *pb.Span) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -59,8 +59,8 @@
 		return err
 	}
 	defer stream.Close()
-	// The call timeout bounds the wait for each message, not the stream and not the
-	// time that this member takes to store it.
+	// The call timeout limits the wait for each message, not the whole stream or the
+	// time that it takes to store a message.
 	timeout := time.AfterFunc(n.options.CallTimeout, cancel)
 	defer timeout.Stop()
 	for stream.Receive() {
@@ -90,7 +90,7 @@
 	return n.storePulled(ctx, size, entries...)
 }
 
-// storePulled stores entries from a peer at the rate of repair.
+// storePulled stores entries from a peer, throttled to the repair rate.
 func (n *Node) storePulled(ctx context.Context, size int, entries ...*pb.Entry) error {
 	if err := throttle(n.repairLimiter)(ctx, size); err != nil {
 		return err
@@ -102,8 +102,8 @@
 	return nil
 }
 
-// pullChunks copies the chunks that a seal names. What the peer misses too is asked
-// for again in the next round.
+// pullChunks copies the chunks that a seal refers to. Chunks that the peer lacks too
+// are requested again in the next round.
 func (n *Node) pullChunks(ctx context.Context, m Member, key []byte, seal *pb.Seal) error {
 	a, err := outputs.ParseKey(key)
 	if err != nil {
--- a/internal/outputs/cluster/read.go
+++ b/internal/outputs/cluster/read.go
@@ -11,19 +11,19 @@
 )
 
 const (
-	// unreachableTimeout is how long a reader waits for members that may come back
-	// before it reports records as missing.
+	// unreachableTimeout is how long a read waits for unreachable members before it
+	// reports records as missing.
 	unreachableTimeout = 3 * time.Second
-	// replicaRetryWait is when a replica that broke off may be read again.
+	// replicaRetryWait is the delay before a replica is read again after an error.
 	replicaRetryWait = time.Second
-	// replicaPollInterval is the time between two looks at the replicas while none
-	// has the next record.
+	// replicaPollInterval is how often the replicas are checked while none has the
+	// next record.
 	replicaPollInterval = 200 * time.Millisecond
 )
 
-// attemptReader reads one attempt for one reader. It stays with a replica as long as
-// that has the next record, and goes on with another one: what is complete only
-// together is merged.
+// attemptReader reads one attempt for one client. It reads from a replica while that
+// has the next record and then switches to another one, which merges replicas that are
+// complete only in combination.
 type attemptReader struct {
 	node     *Node
 	key      []byte
@@ -31,22 +31,23 @@
 	emit     func(*pb.ReadResponse) error
 	streams  map[pb.Stream]bool   // nil: all
 	next     uint64               // the record to read next
-	digest   *outputs.Digest      // nil: not everything is read
-	failedAt map[string]time.Time // by member: when its replica broke off
-	pending  []*pb.Record         // read and not sent yet
+	digest   *outputs.Digest      // nil: not all records are read
+	failedAt map[string]time.Time // by member: time of the last error
+	pending  []*pb.Record         // read but not sent yet
 
-	// skipBytes are left out at the beginning of the first record.
+	// skipBytes is the number of bytes to omit from the start of the first record.
 	skipBytes int
-	// stalledSince is since when no replica has had the next record; zero: one has.
+	// stalledSince is since when no replica has had the next record; zero means that one
+	// has it.
 	stalledSince time.Time
 }
 
-// errReaderDisconnected says that the reader took no more.
+// errReaderDisconnected means that the client accepts no more messages.
 var errReaderDisconnected = errors.New("the reader has gone")
 
-// Read gives an attempt's records to emit, in order and each once. It ends where the
-// records end, or with Follow at the seal. Records that no member can give are
-// reported as a hole.
+// Read passes an attempt's records to emit, in order and each once. It returns at the
+// end of the available records, or with Follow at the seal. Records that no member can
+// deliver are reported as a hole.
 func (n *Node) Read(ctx context.Context, q *pb.ReadRequest, emit func(*pb.ReadResponse) error) error {
 	ctx, span := tracer.Start(ctx, "fetch")
 	defer span.End()
@@ -74,7 +75,7 @@
 	return r.run(ctx)
 }
 
-// run reads until the end of the attempt, or of what there is.
+// run reads until the end of the attempt or of the available records.
 func (r *attemptReader) run(ctx context.Context) error {
 	for {
 		list, unreachable := r.node.replicas(ctx, r.key, false)
@@ -116,8 +117,8 @@
 	return records, sealed
 }
 
-// readNext reads from the replica that has the next record, and reports whether that
-// got any further. An error ends the read.
+// readNext reads from a replica that has the next record, and reports whether the read
+// progressed. An error ends the read.
 func (r *attemptReader) readNext(ctx context.Context, list []replica, sealed bool) (progressed bool, err error) {
 	source, ok := r.selectReplica(list)
 	if !ok {
@@ -132,16 +133,16 @@
 	}
 	if r.next == before && ctx.Err() == nil {
 		if until := outputs.Spans(source.held.Spans).RunEnd(r.next); until > r.next && r.request.SinceNs > 0 {
-			r.next = until // all of it is older than asked for
-		} else if until > r.next { // it did not have what it said
+			r.next = until // all records are older than requested
+		} else if until > r.next { // the replica lacks records that it listed
 			r.failedAt[source.member.Name] = time.Now()
 		}
 	}
 	return r.next > before, nil
 }
 
-// handleStall decides what to do when no replica has given the next record: skip a
-// hole, end the read, or (neither) wait and look again.
+// handleStall handles the case that no replica delivered the next record: it skips a
+// hole, ends the read, or does neither if the caller should wait and retry.
 func (r *attemptReader) handleStall(list []replica, unreachable []string, records uint64, sealed bool) (skipped, done bool, err error) {
 	if r.stalledSince.IsZero() {
 		r.stalledSince = time.Now()
@@ -150,7 +151,7 @@
 	allAnswered := len(unreachable) == 0 && len(r.failedAt) == 0
 	available, more := r.nextAvailable(list)
 	switch {
-	// Blocks of an open attempt may be on their way in any order.
+	// Blocks of an open attempt may arrive out of order.
 	case more && (sealed && allAnswered || waitedEnough):
 		if err := r.sendHole(max(available, r.next+1)); err != nil {
 			return false, false, err
@@ -160,16 +161,16 @@
 	case sealed && !more && (allAnswered || waitedEnough):
 		return true, false, r.sendHole(records)
 	case !sealed && !more && !r.request.Follow && (len(unreachable) < r.node.options.ReplicationFactor || waitedEnough):
-		// What was acknowledged has as many replicas as it should, and the member of
-		// one has answered; or it was recorded that there are fewer. Who did not
-		// answer is named.
+		// Acknowledged records either have as many replicas as the replication factor,
+		// of which at least one member answered, or were recorded as
+		// under-replicated. The response names the members that did not answer.
 		return false, true, r.send(&pb.ReadResponse{Next: r.next, Unreachable: unreachable})
 	}
 	return false, false, nil
 }
 
-// selectReplica chooses a replica that has the next record, or with Follow one at which
-// to wait for it.
+// selectReplica selects a replica that has the next record, or with Follow one to wait on
+// for it.
 func (r *attemptReader) selectReplica(list []replica) (replica, bool) {
 	for _, c := range list {
 		if r.isReadable(c) && outputs.Spans(c.held.Spans).RunEnd(r.next) > r.next {
@@ -187,13 +188,13 @@
 	return replica{}, false
 }
 
-// isReadable reports whether a replica has not broken off just now.
+// isReadable reports whether a replica has not failed recently.
 func (r *attemptReader) isReadable(c replica) bool {
 	at, failed := r.failedAt[c.member.Name]
 	return !failed || time.Since(at) > replicaRetryWait
 }
 
-// nextAvailable returns the next record that any replica has.
+// nextAvailable returns the number of the next record that any replica has.
 func (r *attemptReader) nextAvailable(list []replica) (next uint64, ok bool) {
 	for _, c := range list {
 		if at, has := outputs.Spans(c.held.Spans).Next(r.next); has && (!ok || at < next) {
@@ -203,14 +204,15 @@
 	return next, ok
 }
 
-// sendHole reports the records before another one as missing, and goes on there.
+// sendHole reports the records before a given one as missing, and continues there.
 func (r *attemptReader) sendHole(to uint64) error {
 	hole := &pb.Hole{From: r.next, To: to}
 	r.next, r.digest = to, nil
 	return r.send(&pb.ReadResponse{Hole: hole, Next: r.next})
 }
 
-// sendEnd sends the last message: whether all was read and matches the seal.
+// sendEnd sends the last message, which says whether all records were read and match
+// the seal.
 func (r *attemptReader) sendEnd(ctx context.Context, list []replica) error {
 	intact := false
 	if r.digest != nil {
--- a/internal/outputs/cluster/readreplica.go
+++ b/internal/outputs/cluster/readreplica.go
@@ -13,19 +13,18 @@
 )
 
 const (
-	// readBatchBytes is how much is read from a store at once, compressed: a quarter
-	// of the largest block, so that the first records go out soon.
+	// readBatchBytes is the compressed size of one read from a store: a quarter of the
+	// largest block, so that the first records are sent early.
 	readBatchBytes = 256 << 10
-	// followHeartbeat is how often a member sends something to a peer that follows
-	// an attempt on it.
+	// followHeartbeat is the interval of heartbeats to a peer that follows an attempt.
 	followHeartbeat = time.Second
-	// maxFollowHeartbeats is after how many heartbeats without records a reader looks
-	// at the other replicas.
+	// maxFollowHeartbeats is the number of heartbeats without records after which a
+	// read checks the other replicas.
 	maxFollowHeartbeats = 2
 )
 
-// readFrom reads from one replica as long as it goes on without a hole. With Follow
-// it stays there for records to come.
+// readFrom reads from one replica up to the next hole or the end of its records. With
+// Follow it waits there for new records.
 func (r *attemptReader) readFrom(ctx context.Context, c replica, sealed bool) error {
 	if r.node.isSelf(c.member) {
 		return r.readLocal(ctx)
@@ -33,7 +32,7 @@
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	callTimeout := r.node.options.CallTimeout
-	// The call timeout bounds the wait for each message, not the stream.
+	// The call timeout limits the wait for each message, not the whole stream.
 	timeout := time.AfterFunc(callTimeout, cancel)
 	defer timeout.Stop()
 	follow := r.request.Follow && !sealed
@@ -104,8 +103,8 @@
 	}
 }
 
-// acceptBlocks takes the records of blocks that follow the last one. It reports whether
-// they do: false means a hole, or a block that can't be unpacked.
+// acceptBlocks accepts the records of blocks that continue the read. It returns false at
+// a hole or at a block that can't be unpacked.
 func (r *attemptReader) acceptBlocks(blocks []*pb.Block) bool {
 	for _, b := range blocks {
 		if b.First+uint64(b.Count) <= r.next {
@@ -115,7 +114,7 @@
 			if r.request.SinceNs == 0 {
 				return false
 			}
-			r.next = b.First // blocks that are older as a whole were left out
+			r.next = b.First // blocks whose records are all older were omitted
 		}
 		records, err := outputs.Unpack(b)
 		if err != nil {
@@ -130,7 +129,7 @@
 	return true
 }
 
-// acceptRecord takes the next record, if the reader asked for it.
+// acceptRecord accepts the next record and queues it if the client requested it.
 func (r *attemptReader) acceptRecord(rec *pb.Record) {
 	if r.digest != nil {
 		r.digest.Add(rec)
@@ -146,8 +145,8 @@
 	r.pending = append(r.pending, rec)
 }
 
-// sendPending sends the records that were taken, in messages of at most a block's
-// data.
+// sendPending sends the accepted records, in messages with at most the data of one
+// block.
 func (r *attemptReader) sendPending() error {
 	for len(r.pending) > 0 {
 		count, size := 0, 0
@@ -168,8 +167,8 @@
 	return nil
 }
 
-// Blocks streams what this member holds of an attempt to a peer. With Follow it goes
-// on until the seal, and sends an empty message as a heartbeat.
+// Blocks streams this member's blocks of an attempt to a peer. With Follow it continues
+// until the attempt is sealed, and sends empty messages as heartbeats.
 func (n *Node) Blocks(ctx context.Context, q *pb.BlocksRequest, send func(*pb.BlocksResponse) error) error {
 	next := q.From
 	for {
--- a/internal/outputs/cluster/readtail.go
+++ b/internal/outputs/cluster/readtail.go
@@ -10,15 +10,16 @@
 )
 
 const (
-	// initialTailRecords is how many records from the end are searched first for the
-	// last lines.
+	// initialTailRecords is the number of records from the end that are searched first
+	// for the last lines.
 	initialTailRecords = 16
-	// tailGrowthFactor is by how much more is searched each time that they were too few.
+	// tailGrowthFactor is the factor by which the number of searched records grows while
+	// they hold too few lines.
 	tailGrowthFactor = 8
 )
 
-// seekTail moves to the place from which on TailLines lines follow. It reads ever
-// more records from the end until they hold enough lines.
+// seekTail moves to the start of the last TailLines lines. It reads a growing number of
+// records from the end until they hold enough lines.
 func (r *attemptReader) seekTail(ctx context.Context) error {
 	list, unreachable := r.node.replicas(ctx, r.key, false)
 	if len(list) == 0 {
@@ -47,7 +48,7 @@
 	}
 }
 
-// readTail reads the records from one on.
+// readTail reads the records starting at the given one.
 func (r *attemptReader) readTail(ctx context.Context, from uint64) ([]*pb.Record, error) {
 	var tail []*pb.Record
 	probe := &attemptReader{
@@ -66,11 +67,11 @@
 	return tail, err
 }
 
-// lastLines finds where the last lines begin: in which record, and how many bytes
-// into it. A line without a newline at the end counts.
+// lastLines finds the record in which the last lines begin and the offset in its data.
+// A final line without a newline counts.
 func lastLines(records []*pb.Record, lines uint64) (seq uint64, skip int, enough bool) {
 	seen := uint64(0)
-	atEnd := true // nothing but a final newline was passed
+	atEnd := true // only a final newline was passed so far
 	for i := len(records) - 1; i >= 0; i-- {
 		rec := records[i]
 		if rec.Stream == pb.Stream_STREAM_GAP {
@@ -81,7 +82,7 @@
 			if newline < 0 {
 				break
 			}
-			if !(atEnd && newline == len(rec.Data)-1) { // the newline at the very end begins no line
+			if !(atEnd && newline == len(rec.Data)-1) { // no line begins after the final newline
 				if seen++; seen == lines {
 					return rec.Seq, newline + 1, true
 				}
--- a/internal/outputs/cluster/repair.go
+++ b/internal/outputs/cluster/repair.go
@@ -14,7 +14,7 @@
 	pb "reedtrack/internal/outputs/outputsv1"
 )
 
-// Metrics of repair.
+// Repair metrics.
 var (
 	repairedAttempts = prometheus.NewCounter(prometheus.CounterOpts{Name: "reedtrack_outputs_repaired_attempts_total",
 		Help: "Attempts of which something was copied from another store."})
@@ -30,12 +30,13 @@
 	prometheus.MustRegister(repairedAttempts, repairedBytes, repairBacklog, underReplicatedAttempts)
 }
 
-// pullConcurrency is how many attempts are copied from a peer at once: enough to
-// hide its latency, few enough that it serves its writers meanwhile.
+// pullConcurrency is the number of attempts that are copied from a peer concurrently:
+// enough to hide its latency, but few enough that it can still serve its writers.
 const pullConcurrency = 4
 
-// repairLoop runs a round of repair per interval, and at once when the view changes.
-// After a member has left it waits for the repair delay, in case the member returns.
+// repairLoop runs a repair round per interval, and immediately when the view changes.
+// After a member has left, rounds are suspended for the repair delay, in case the member
+// returns.
 func (n *Node) repairLoop(ctx context.Context) {
 	previous, lostAt := n.membership.View(), time.Time{}
 	for {
@@ -62,10 +63,10 @@
 
 func jitter(d time.Duration) time.Duration { return nextBackoff(d/2, d, d) }
 
-// repairResult says how a comparison with a peer went.
+// repairResult is the result of a comparison with a peer.
 type repairResult struct {
-	repaired int // attempts of which something was copied
-	missing  int // attempts of which the peer holds more
+	repaired int // attempts of which data was copied
+	missing  int // attempts of which the peer holds more data
 }
 
 func (c *repairResult) add(o repairResult) {
@@ -74,7 +75,7 @@
 }
 
 // Repair runs one round of anti-entropy repair against all peers and returns the
-// number of attempts of which it copied something.
+// number of attempts of which it copied data.
 func (n *Node) Repair(ctx context.Context, v *View) int {
 	n.repairMu.Lock()
 	defer n.repairMu.Unlock()
@@ -93,7 +94,7 @@
 	return total.repaired
 }
 
-// repairFrom compares digests with one peer, and copies what differs.
+// repairFrom compares digests with one peer and copies missing data.
 func (n *Node) repairFrom(ctx context.Context, v *View, m Member) (repairResult, error) {
 	owner, members, factor := n.membership.Self.Name, v.toProto(), uint32(n.options.ReplicationFactor)
 	remote, err := callPeer(ctx, n, m, Peer.Digests, &pb.DigestsRequest{Owner: owner, Members: members, Copies: factor})
@@ -121,8 +122,8 @@
 	return total, err
 }
 
-// differingBuckets returns the numbers of the buckets whose digests differ. Without
-// local digests each counts as zero.
+// differingBuckets returns the indices of the buckets whose digests differ. Without
+// local digests, each of them counts as zero.
 func differingBuckets(local, remote []uint64) []uint32 {
 	var differing []uint32
 	for i, digest := range remote {
@@ -133,8 +134,8 @@
 	return differing
 }
 
-// pullMissing lists attempts that a peer holds, page by page, and copies what this
-// member misses of them.
+// pullMissing lists attempts that a peer holds, page by page, and copies the data that
+// this member lacks.
 func (n *Node) pullMissing(ctx context.Context, m Member, q *pb.BucketRequest) (repairResult, error) {
 	var total repairResult
 	for {
@@ -152,8 +153,8 @@
 	}
 }
 
-// pullPage copies what this member misses of some attempts, several at once. All are
-// tried; the error is the first one.
+// pullPage copies the data that this member lacks of the given attempts, several
+// concurrently. It tries all of them and returns the first error.
 func (n *Node) pullPage(ctx context.Context, m Member, page []*pb.Held) (repairResult, error) {
 	var (
 		mu       sync.Mutex
@@ -184,11 +185,10 @@
 	return count, firstErr
 }
 
-// needsRepair reports whether this member should copy something of what a peer
-// holds.
+// needsRepair reports whether this member lacks data of a peer's replica.
 func (n *Node) needsRepair(remote *pb.Held) bool {
 	if n.isExpired(remote.Summary, time.Now().Add(n.retentionMargin(remote.Summary))) {
-		return false // it would be dropped at once, and copied again in each round
+		return false // it would be dropped soon and copied again in each round
 	}
 	local := n.store.Held(remote.Key)
 	if local == nil {
@@ -206,7 +206,7 @@
 	return !containsSpans(local.Spans, remote.Spans)
 }
 
-// containsSpans reports whether one set of spans has all records of another.
+// containsSpans reports whether a set of spans covers all records of another.
 func containsSpans(have, other []*pb.Span) bool {
 	for _, x := range other {
 		if len(outputs.Spans(have).Missing(x.From, x.To)) > 0 {
--- a/internal/outputs/cluster/retention.go
+++ b/internal/outputs/cluster/retention.go
@@ -11,28 +11,30 @@
 	pb "reedtrack/internal/outputs/outputsv1"
 )
 
-// maxRetentionMargin bounds [Node.retentionMargin]. Members' clocks and maintenance
-// rounds differ by far less.
+// maxRetentionMargin is the upper bound of [Node.retentionMargin]. The differences
+// between members' clocks and maintenance rounds are far smaller.
 const maxRetentionMargin = time.Hour
 
 func (n *Node) retentionOf(s *pb.Summary) time.Duration {
 	return n.options.Retention(s.Attempt.GetTeam(), s.Meta.GetJobClass())
 }
 
-// isExpired reports whether an attempt is past its retention. Its replicas agree on
-// when the seal was received; an open attempt counts from its last change.
+// isExpired reports whether an attempt is past its retention. The retention of a sealed
+// attempt starts when the seal was received, on which its replicas agree; that of an
+// open attempt starts at its last change.
 func (n *Node) isExpired(s *pb.Summary, now time.Time) bool {
 	retention := n.retentionOf(s)
 	return retention > 0 && s.ReceivedNs > 0 && now.Sub(time.Unix(0, s.ReceivedNs)) > retention
 }
 
-// retentionMargin is how long before its expiry an attempt is no longer repaired:
-// another member may drop it a little earlier or later.
+// retentionMargin is how long before its expiry an attempt is no longer repaired,
+// because members may drop it at slightly different times.
 func (n *Node) retentionMargin(s *pb.Summary) time.Duration {
 	return min(maxRetentionMargin, n.retentionOf(s)/10)
 }
 
-// dropExpired drops the attempts that are past their retention, and returns how many.
+// dropExpired drops the attempts that are past their retention and returns their
+// number.
 func (n *Node) dropExpired(ctx context.Context, now time.Time) int {
 	var keys [][]byte
 	n.store.ForEachAttempt(func(key []byte, _ uint64, state *pb.AttemptState) bool {
--- a/internal/outputs/cluster/underreplicated.go
+++ b/internal/outputs/cluster/underreplicated.go
@@ -8,8 +8,8 @@
 	pb "reedtrack/internal/outputs/outputsv1"
 )
 
-// clearFullyReplicated looks at the attempts that were acknowledged with too few
-// replicas, and forgets that record where all members that should hold one do by now.
+// clearFullyReplicated checks the attempts recorded as under-replicated, and clears the
+// record if all members that should hold a replica now have a complete one.
 func (n *Node) clearFullyReplicated(ctx context.Context, v *View) {
 	var keys [][]byte
 	n.store.ForEachAttempt(func(key []byte, _ uint64, state *pb.AttemptState) bool {
@@ -31,8 +31,8 @@
 	underReplicatedAttempts.Set(float64(remaining))
 }
 
-// countCompleteReplicas returns by key how many of the members that should hold an
-// attempt hold all of it.
+// countCompleteReplicas returns by key the number of members that should hold an
+// attempt and have a complete replica.
 func (n *Node) countCompleteReplicas(ctx context.Context, v *View, keys [][]byte) map[string]int {
 	complete := map[string]int{}
 	for _, m := range v.Members {
@@ -47,8 +47,8 @@
 	return complete
 }
 
-// heldOn returns what a member holds of some attempts; nothing if it does not
-// answer.
+// heldOn returns a member's replicas of the given attempts, or nil if the member does
+// not answer.
 func (n *Node) heldOn(ctx context.Context, m Member, keys [][]byte) []*pb.Held {
 	if n.isSelf(m) {
 		return n.heldLocally(keys)
--- a/internal/outputs/cluster/view.go
+++ b/internal/outputs/cluster/view.go
@@ -15,17 +15,17 @@
 	Name    string `json:"name"`
 	Zone    string `json:"zone"`
 	Address string `json:"address"`
-	// ID identifies the data directory: the same name with another ID is another
-	// store.
+	// ID identifies the data directory. The same name with a different ID is a
+	// different store.
 	ID string `json:"id"`
 }
 
-// View is one member's knowledge of the cluster. It is not changed once it is
+// View is the list of cluster members as known to one member. It is immutable once
 // published.
 type View struct {
-	Members []Member // by name
-	// Confirmed says that the key-value store gave this list. Otherwise it is the
-	// list that was cached before the process started.
+	Members []Member // sorted by name
+	// Confirmed is whether the list comes from the key-value store. Otherwise it was
+	// cached by a previous process.
 	Confirmed bool
 }
 
@@ -36,16 +36,16 @@
 }
 
 // PreferenceList orders the indices of the members for a route (see
-// [outputs.Route]): first the members that should hold it, then those that stand in
-// while some are away.
+// [outputs.Route]): first the members that should hold it, then the fallbacks for
+// members that are unreachable.
 //
 // The order is by rendezvous hashing, so a member that joins or leaves moves only
-// the routes that it gains or loses. Zones take turns, so that replicas lie in as
-// many zones as there are.
+// the routes that it gains or loses. Zones alternate, so that the replicas are in as
+// many different zones as possible.
 func (v *View) PreferenceList(route []byte) []int {
 	scores := v.scores(route)
 	order := make([]int, 0, len(scores))
-	for len(scores) > 0 { // each turn takes the best remaining member of every zone
+	for len(scores) > 0 { // each round takes the best remaining member of every zone
 		zones := map[string]bool{}
 		rest := scores[:0]
 		for _, s := range scores {
@@ -62,7 +62,7 @@
 	return order
 }
 
-// scores returns the members' hashes for a route, highest first.
+// scores returns the members' rendezvous hashes for a route, highest first.
 func (v *View) scores(route []byte) []memberScore {
 	scores := make([]memberScore, len(v.Members))
 	routeHash := xxhash.Sum64(route)
@@ -79,7 +79,7 @@
 }
 
 // Replicas returns the indices of the members that should hold a route's attempts.
-// There are fewer than factor if the cluster has fewer members.
+// There are fewer than factor if the cluster is smaller.
 func (v *View) Replicas(route []byte, factor int) []int {
 	order := v.PreferenceList(route)
 	return order[:min(factor, len(order))]
--- a/internal/outputs/cluster/view_test.go
+++ b/internal/outputs/cluster/view_test.go
@@ -26,8 +26,8 @@
 	return names
 }
 
-// Replicas lie in different zones, members get about the same share, and a member
-// that leaves moves only the routes that it had.
+// Replicas are in different zones, members hold about the same number of them, and a
+// member that leaves moves only the routes that it held.
 func TestViewReplicasSpreadZonesAndMoveLittle(t *testing.T) {
 	const routes, factor = 20000, 2
 	v := newView(9, 3)
--- a/internal/outputs/cluster/write.go
+++ b/internal/outputs/cluster/write.go
@@ -15,11 +15,11 @@
 	pb "reedtrack/internal/outputs/outputsv1"
 )
 
-// Append stores a block of an attempt's records and returns how many members have
-// synced it.
+// Append stores a block of an attempt's records and returns the number of members that
+// have synced it.
 func (n *Node) Append(ctx context.Context, a *pb.Attempt, meta *pb.Meta, b *pb.Block) (int, error) {
 	key := outputs.Key(a)
-	tally := b.GetTally() // as the writer counts; the stores count for themselves
+	tally := b.GetTally() // as counted by the writer; the stores count on their own
 	size := max(len(b.Zstd), int(tally.GetStdoutBytes()+tally.GetStderrBytes()))
 	if err := n.admitWrite(key, a.Team, size); err != nil {
 		return 0, err
@@ -28,14 +28,15 @@
 	return n.replicate(ctx, key, span, openEntry(key, meta), &pb.Entry{Key: key, What: &pb.Entry_Block{Block: b}})
 }
 
-// Open records that an attempt has begun and returns how many members have synced it.
+// Open records that an attempt has started and returns the number of members that have
+// synced the record.
 func (n *Node) Open(ctx context.Context, a *pb.Attempt, meta *pb.Meta) (int, error) {
 	key := outputs.Key(a)
 	return n.replicate(ctx, key, &pb.Span{}, openEntry(key, meta))
 }
 
-// Seal ends an attempt and returns how many members have synced the seal, in which
-// it sets the time of receipt.
+// Seal ends an attempt and returns the number of members that have synced the seal. It
+// sets the time of receipt in the seal.
 func (n *Node) Seal(ctx context.Context, a *pb.Attempt, meta *pb.Meta, s *pb.Seal) (int, error) {
 	key := outputs.Key(a)
 	s.ReceivedNs = time.Now().UnixNano()
@@ -43,8 +44,8 @@
 	return n.replicate(ctx, key, span, openEntry(key, meta), &pb.Entry{Key: key, What: &pb.Entry_Seal{Seal: s}})
 }
 
-// PutChunk stores a chunk of one of an attempt's artefacts and returns how many
-// members have synced it.
+// PutChunk stores a chunk of an attempt's artefact and returns the number of members
+// that have synced it.
 func (n *Node) PutChunk(ctx context.Context, a *pb.Attempt, c *pb.Chunk) (int, error) {
 	key := outputs.Key(a)
 	if err := n.admitWrite(key, a.Team, len(c.Zstd)); err != nil {
@@ -60,8 +61,8 @@
 	return &pb.Entry{Key: key, What: &pb.Entry_Open{Open: meta}}
 }
 
-// MissingChunks returns which chunks of an attempt's artefacts have to be sent: those
-// that not all members that should hold them, and answer, do.
+// MissingChunks returns the chunks of an attempt's artefacts that have to be sent: those
+// that are missing on any responding member that should hold them.
 func (n *Node) MissingChunks(ctx context.Context, a *pb.Attempt, hashes [][]byte) ([][]byte, error) {
 	missing := map[string]bool{}
 	answered := false
@@ -102,16 +103,16 @@
 	return answer.Missing, nil
 }
 
-// putResult says how a write to one member ended.
+// putResult is the outcome of a write to one member.
 type putResult struct {
 	member Member
 	err    error
 }
 
-// replicate writes entries of an attempt to as many members as the replication
-// factor asks for, and returns how many have synced them. If fewer than that have,
-// the fact is recorded before anything is acknowledged. span are the records
-// concerned.
+// replicate writes entries of an attempt to as many members as the replication factor
+// requires, and returns the number of members that have synced them. If these are too
+// few, the under-replication of the records in span is recorded before the write is
+// acknowledged.
 func (n *Node) replicate(ctx context.Context, key []byte, span *pb.Span, entries ...*pb.Entry) (int, error) {
 	ctx, traceSpan := tracer.Start(ctx, "acknowledge", trace.WithAttributes(attribute.Int("entries", len(entries))))
 	defer traceSpan.End()
@@ -135,8 +136,8 @@
 	return len(holders), nil
 }
 
-// writeOrder returns the members to write an attempt to: by preference, those that
-// back off last.
+// writeOrder returns the members to write an attempt to, in order of preference, with
+// members in backoff last.
 func (n *Node) writeOrder(key []byte) []Member {
 	v := n.membership.View()
 	var available, backingOff []Member
@@ -150,13 +151,13 @@
 	return append(available, backingOff...)
 }
 
-// putOnReplicas writes to as many members as the replication factor asks for, at
-// once, and for each that fails to the next in order. It returns the members that
-// have synced the entries, as soon as they are enough, and the most specific error
-// of the others. After a final error it returns no holders.
+// putOnReplicas writes concurrently to as many members as the replication factor
+// requires, and replaces each one that fails by the next in order. It returns the
+// members that have synced the entries, as soon as there are enough, and the most
+// specific error of the others. After a final error it returns no holders.
 func (n *Node) putOnReplicas(ctx context.Context, order []Member, entries []*pb.Entry) (holders []Member, err error) {
 	wanted := min(n.options.ReplicationFactor, len(order))
-	results := make(chan putResult, len(order)) // no writer blocks when this returns early
+	results := make(chan putResult, len(order)) // buffered, so that no goroutine blocks after an early return
 	next, running := 0, 0
 	start := func() {
 		m := order[next]
@@ -193,9 +194,9 @@
 	return err
 }
 
-// recordUnderReplicated records, on one member that holds it, that an attempt has too
-// few replicas, so that readers are told and repair looks at it. What this member
-// has recorded already is not recorded again.
+// recordUnderReplicated records, on one of its holders, that an attempt has too few
+// replicas. Readers are shown this record and repair uses it. An attempt that this
+// member has already recorded is not recorded again.
 func (n *Node) recordUnderReplicated(ctx context.Context, key []byte, span *pb.Span, holders []Member) error {
 	for _, m := range holders {
 		if n.isSelf(m) && n.store.IsUnderReplicated(key) {
@@ -225,8 +226,8 @@
 	return false
 }
 
-// moreSpecific chooses the error that tells a writer more: a full disk rather than
-// silence.
+// moreSpecific returns the error that is more useful to a writer: a full disk rather
+// than an unreachable member.
 func moreSpecific(a, b error) error {
 	if a == nil || errors.Is(b, disk.ErrFull) || connect.CodeOf(b) == connect.CodeResourceExhausted {
 		return b
--- a/internal/outputs/daemon/authorization_test.go
+++ b/internal/outputs/daemon/authorization_test.go
@@ -19,7 +19,7 @@
 	"reedtrack/internal/outputs/settings"
 )
 
-// noError stands for success among codes of errors.
+// noError is the code of a successful request.
 const noError = connect.Code(0)
 
 func codeOf(err error) connect.Code {
@@ -33,9 +33,8 @@
 	return connect.CodeUnknown
 }
 
-// newProtectedStore starts a store with tokens: of the writers red and blue of two
-// teams, the reader of team red, the operator and the stores. It returns their
-// secrets by these names.
+// newProtectedStore starts a store with five tokens: writers of the teams red and blue,
+// a reader of team red, an operator and a peer. It returns their secrets by name.
 func newProtectedStore(t *testing.T) (*testCluster, *Daemon, map[string]string) {
 	t.Helper()
 	tokens := []struct{ name, team, role string }{
@@ -61,7 +60,7 @@
 	return c, c.startStore("s0", "a"), secrets
 }
 
-// newSealedAttempt writes an attempt of team red.
+// newSealedAttempt writes and seals an attempt of team red.
 func newSealedAttempt(t *testing.T, c *testCluster, d *Daemon, token string) *testWriter {
 	t.Helper()
 	w := c.newWriter(0, 1, "k")
@@ -72,8 +71,8 @@
 	return w
 }
 
-// A team reads and writes only its own outputs; nobody adds to another's attempt;
-// what stores ask each other is for them alone.
+// A team can read and write only its own outputs, a writer can append only to its own
+// attempts, and only stores can use the peer service.
 func TestTeamIsolation(t *testing.T) {
 	c, d, secrets := newProtectedStore(t)
 	w := newSealedAttempt(t, c, d, secrets["red"])
@@ -103,7 +102,7 @@
 			"red":      {noError, 1},
 			"reader":   {noError, 1},
 			"operator": {noError, 1},
-			"blue":     {noError, 0}, // its own list, in which there is nothing
+			"blue":     {noError, 0}, // listings contain only the caller's team
 			"peer":     {connect.CodePermissionDenied, 0},
 			"":         {connect.CodeUnauthenticated, 0},
 		}
--- a/internal/outputs/daemon/cluster_test.go
+++ b/internal/outputs/daemon/cluster_test.go
@@ -28,26 +28,26 @@
 	os.Exit(m.Run())
 }
 
-// testJob is the job of all attempts.
+// testJob is the job of all attempts in the tests.
 const testJob = "wk-000042"
 
-// testCluster is an emulated key-value store and some stores of outputs on
-// loopback, whose links to each other can be cut.
+// testCluster is an emulated key-value store and a set of output stores on loopback.
+// The network links between the stores can be cut.
 type testCluster struct {
 	t            *testing.T
 	state        *emulator.KVStore
 	stateAddr    string
-	dir          string // holds a data directory for each store, under its name
+	dir          string // parent of the stores' data directories, which have their names
 	settings     settings.Outputs
-	modifyConfig func(*Config) // of stores that start from now on; may be nil
+	modifyConfig func(*Config) // applied to stores that are started later; may be nil
 	stores       map[string]*Daemon
 
 	mu          sync.Mutex
-	unreachable map[string]bool // HOST:PORT of stores that no other store reaches
+	unreachable map[string]bool // HOST:PORT of stores that no other store can reach
 }
 
-// newTestCluster makes a cluster without stores. modify, if any, changes the
-// settings, in which everything periodic is fast.
+// newTestCluster creates a cluster without stores. modify, if not nil, changes the
+// settings, which have short intervals for periodic work.
 func newTestCluster(t *testing.T, modify func(*settings.Outputs)) *testCluster {
 	t.Helper()
 	c := &testCluster{
@@ -77,10 +77,10 @@
 	return c
 }
 
-// slowRepair keeps periodic repair out of a test.
+// slowRepair disables periodic repair for the duration of a test.
 func slowRepair(o *settings.Outputs) { o.RepairInterval = time.Hour }
 
-// RoundTrip carries a request between stores, unless the link is cut.
+// RoundTrip sends a request from one store to another, unless the link is cut.
 func (c *testCluster) RoundTrip(r *http.Request) (*http.Response, error) {
 	c.mu.Lock()
 	isCut := c.unreachable[r.URL.Host]
@@ -91,14 +91,15 @@
 	return http.DefaultTransport.RoundTrip(r)
 }
 
-// setReachable cuts or mends the links to a store.
+// setReachable restores or cuts the links to a store.
 func (c *testCluster) setReachable(d *Daemon, reachable bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.unreachable[strings.TrimPrefix(d.URL, "http://")] = !reachable
 }
 
-// isolate cuts the links to all stores but one.
+// isolate cuts the links to all stores except the given one, which then reaches no
+// other store.
 func (c *testCluster) isolate(name string) {
 	for other, d := range c.stores {
 		c.setReachable(d, other == name)
@@ -144,8 +145,8 @@
 	return d
 }
 
-// startStores starts stores s0, s1 and so on, one for each zone, and waits until
-// they know each other.
+// startStores starts the stores s0, s1 and so on, one per given zone, and waits until
+// all of them are members in each other's view.
 func (c *testCluster) startStores(zones ...string) {
 	c.t.Helper()
 	for i, zone := range zones {
@@ -154,7 +155,7 @@
 	c.waitForMembers(len(zones))
 }
 
-// stopStore closes a store in order.
+// stopStore shuts down a store gracefully.
 func (c *testCluster) stopStore(name string) {
 	if d := c.stores[name]; d != nil {
 		delete(c.stores, name)
@@ -162,7 +163,7 @@
 	}
 }
 
-// killStore ends a store as if its process had been killed.
+// killStore stops a store as if its process had been killed.
 func (c *testCluster) killStore(name string) {
 	d := c.stores[name]
 	delete(c.stores, name)
@@ -179,7 +180,7 @@
 	c.t.Fatalf("timeout waiting for %s", what)
 }
 
-// waitForMembers waits until every store knows so many members.
+// waitForMembers waits until every store's view has n members.
 func (c *testCluster) waitForMembers(n int) {
 	c.t.Helper()
 	c.waitFor(fmt.Sprintf("%d members", n), func() bool {
@@ -192,13 +193,13 @@
 	})
 }
 
-// anyStore is the first by name of the stores that run.
+// anyStore returns the first running store by name.
 func (c *testCluster) anyStore() *Daemon {
 	names := slices.Sorted(maps.Keys(c.stores))
 	return c.stores[names[0]]
 }
 
-// listAttempts asks one store for a page of attempts.
+// listAttempts requests a page of attempts from one store.
 func (c *testCluster) listAttempts(d *Daemon, token string, request *pb.ListRequest) (*pb.ListResponse, error) {
 	stores, err := client.New([]string{d.URL}, token, "")
 	if err != nil {
--- a/internal/outputs/daemon/config.go
+++ b/internal/outputs/daemon/config.go
@@ -14,37 +14,37 @@
 	"reedtrack/internal/storage"
 )
 
-// configSource names the program in errors about its configuration.
+// configSource is the source named in errors about the command line and settings.
 const configSource = "outputs"
 
-// Config describes the store to run.
+// Config is the configuration of a store.
 type Config struct {
 	Name      string // unique among the stores
 	Zone      string
 	Listen    string // HOST:PORT
-	Advertise string // URL at which others reach it; empty: made of Listen
-	Dir       string // data directory, created if need be
+	Advertise string // URL at which others reach the store; empty: derived from Listen
+	Dir       string // data directory, created if it does not exist
 	Settings  settings.Outputs
 
-	// State is the key-value store in which the members find each other; nil: the
-	// store is alone. StatePollInterval is the time between two reads of it.
+	// KeyValueStore is where the members register; nil: single-member cluster.
+	// StatePollInterval is the time between two reads of it.
 	KeyValueStore cluster.KeyValueStore
 	WatchPause    func(stores int) time.Duration
 
-	ConcurrencyLimits serve.ConcurrencyLimits // zero: serve.DefaultBounds
-	FS                disk.FS                 // nil: the system's
+	ConcurrencyLimits serve.ConcurrencyLimits // zero: serve.DefaultConcurrencyLimits
+	FS                disk.FS                 // nil: the operating system's
 
-	// Tests shorten these; zero values are replaced by those of production.
+	// Tests set shorter durations; zero values are replaced by the defaults.
 	MaintenanceInterval time.Duration
 	PinDuration         time.Duration
 	CallTimeout         time.Duration
 	CompactionDelay     time.Duration
 
-	PeerTransport http.RoundTripper // of requests to other stores; nil: over the network
+	PeerTransport http.RoundTripper // for requests to other stores; nil: the network
 }
 
-// Check says what is wrong with a configuration before anything is opened. Every
-// error is a *config.FieldError.
+// Check validates a configuration before any resource is opened. Every error is a
+// *config.FieldError.
 func (c *Config) Check() error {
 	if err := outputs.CheckName("name", c.Name); err != nil {
 		return fieldError("--name", err.Error())
@@ -71,15 +71,15 @@
 }
 
 const (
-	// minWatchPause and maxStatePoll bound the time between two reads of the members:
-	// more often only costs requests, and more seldom leaves members unnoticed.
+	// minWatchPause and maxStatePoll limit the pause between two watch requests:
+	// shorter pauses only cost requests, and longer ones delay the discovery of members.
 	minWatchPause = time.Second
 	maxWatchPause = 30 * time.Second
 )
 
-// NewKeyValueStoreClient returns a client of the platform's key-value store that uses no
-// more than a share of its request rates, and how often to poll it with so many
-// stores.
+// NewKeyValueStoreClient returns a client of the platform's key-value store that uses at
+// most a share of the store's request rates, and the pause between watch requests for
+// a given number of stores.
 func NewKeyValueStoreClient(platform *config.Settings, share float64) (cluster.KeyValueStore, func(stores int) time.Duration) {
 	readRate := platform.Deployment.State.RPS * share
 	writeRate := platform.StoreLimits().WriteRPS * share
--- a/internal/outputs/daemon/credentials.go
+++ b/internal/outputs/daemon/credentials.go
@@ -4,7 +4,8 @@
 	"reedtrack/internal/outputs/access"
 )
 
-// credentials are what a store checks callers with and shows of itself.
+// credentials are the tokens with which a store authenticates callers, and its own
+// certificate and token.
 type credentials struct {
 	tokens      *access.TokenSet
 	certificate *access.CertificateReloader // nil: no TLS
@@ -35,7 +36,7 @@
 	return creds, nil
 }
 
-// scheme is that of the store's URL.
+// scheme returns the scheme of the store's URL.
 func (c *credentials) scheme() string {
 	if c.certificate != nil {
 		return "https"
--- a/internal/outputs/daemon/daemon.go
+++ b/internal/outputs/daemon/daemon.go
@@ -1,8 +1,7 @@
-// Package daemon assembles a store of task outputs and runs it: the disk that
-// holds the outputs, the membership by which stores find each other, the node that
-// replicates and repairs, and the server that answers captures, people and other
-// stores. [Start] builds them from a [Config] in this order, and [Daemon.Close]
-// ends them in the reverse one.
+// Package daemon assembles and runs a store of task outputs. Its parts are the disk
+// store, the cluster membership, the node that replicates and repairs attempts, and
+// the server for writers, readers and other stores. [Start] creates them from a
+// [Config] and [Daemon.Close] stops them.
 package daemon
 
 import (
@@ -30,11 +29,11 @@
 )
 
 const (
-	// connectionsPerPeer is how many idle connections to another store are kept:
-	// writes to it are sent in parallel.
+	// connectionsPerPeer is the number of idle connections kept to another store, to
+	// which writes are sent concurrently.
 	connectionsPerPeer = 32
-	// maxPeerMessageBytes bounds a message from another store, well above the
-	// largest block of records and the largest page of a scan.
+	// maxPeerMessageBytes limits a message from another store. It is well above the
+	// size of the largest block of records and of the largest scan page.
 	maxPeerMessageBytes = 16 << 20
 
 	defaultCallTimeout         = 3 * time.Second
@@ -42,7 +41,7 @@
 	defaultMaintenanceInterval = 30 * time.Second
 
 	serviceName = "reedtrack-outputs" // in traces
-	membersFile = "members.json"      // the members known last, in the data directory
+	membersFile = "members.json"      // cache of the last known members, in the data directory
 )
 
 // Daemon is a running store.
@@ -57,7 +56,7 @@
 	stopTraces func()
 }
 
-// Start opens a store and begins to serve.
+// Start opens a store and starts to serve requests.
 func Start(c Config) (d *Daemon, err error) {
 	if err := c.Check(); err != nil {
 		return nil, err
@@ -121,7 +120,7 @@
 	})
 }
 
-// newPeerDialer returns what makes a client of another store.
+// newPeerDialer returns a function that creates the client of another store.
 func newPeerDialer(c *Config, peerToken string, interceptors []connect.Interceptor) (func(cluster.Member) cluster.Peer, error) {
 	httpClient, err := access.NewHTTPClient(c.Settings.CA, connectionsPerPeer)
 	if err != nil {
@@ -172,7 +171,7 @@
 	}
 }
 
-// advertisedURL returns the URL at which others reach a store that listens at an
+// advertisedURL returns the URL at which others reach a store with the given listen
 // address.
 func advertisedURL(c *Config, scheme string, listen net.Addr) (string, error) {
 	advertised := c.Advertise
@@ -186,7 +185,7 @@
 	return advertised, nil
 }
 
-// serve begins to answer requests on a listener.
+// serve starts to serve requests on a listener.
 func (d *Daemon) serve(ln net.Listener, c *Config, creds *credentials, interceptors []connect.Interceptor) {
 	bounds := c.ConcurrencyLimits
 	if bounds == (serve.ConcurrencyLimits{}) {
@@ -200,15 +199,15 @@
 	d.server = serve.Serve(ln, handler, creds.certificate, bounds)
 }
 
-// runNode starts the node's periodic work.
+// runNode starts the node's background work.
 func (d *Daemon) runNode() {
 	var ctx context.Context
 	ctx, d.stopNode = context.WithCancel(context.Background())
 	d.nodeDone.Go(func() { d.Node.Run(ctx) })
 }
 
-// Close ends the store. Requests under way get a moment to finish, and the index is
-// written, so that the next start is quick.
+// Close stops the store. It gives requests in progress a short time to finish, and
+// writes the index to make the next start faster.
 func (d *Daemon) Close() error {
 	if d.stopNode != nil {
 		d.stopNode()
@@ -227,8 +226,8 @@
 	return err
 }
 
-// kill lets go of everything as a process that is killed does: the index is not
-// written, requests are cut off. For tests.
+// kill stops the store as if its process were killed: requests are aborted and the
+// index is not written. It is used in tests.
 func (d *Daemon) kill() {
 	d.stopNode()
 	d.server.Kill()
--- a/internal/outputs/daemon/damage_test.go
+++ b/internal/outputs/daemon/damage_test.go
@@ -14,8 +14,8 @@
 	pb "reedtrack/internal/outputs/outputsv1"
 )
 
-// A bit that flips on one disk: a reader gets the record from the other copy, and
-// the store gets it back.
+// After a bit flip on one disk, reads use the other replica and repair restores the
+// damaged record.
 func TestDamagedRecordsAreRepaired(t *testing.T) {
 	c := newTestCluster(t, nil)
 	c.startStores("a", "b")
@@ -56,8 +56,8 @@
 	}
 }
 
-// Other records under the same numbers, well formed: only the seal's digest can
-// tell, and the store gets the right ones from the other copy.
+// Well-formed records with the right numbers but other content are detected only by
+// the seal's digest. A scrub invalidates them and repair copies the other replica.
 func TestForgedRecordsAreRepaired(t *testing.T) {
 	c := newTestCluster(t, nil)
 	c.startStores("a", "b")
@@ -84,8 +84,8 @@
 	c.waitFor("the right content", func() bool { return w.completeCopies() == 2 && w.read(s1) == nil })
 }
 
-// forgeRecords writes four records of other content, from a number on, into the
-// data directory of a store that does not run.
+// forgeRecords writes four records with other content, starting at a number, into the
+// data directory of a stopped store.
 func forgeRecords(t *testing.T, dir string, w *testWriter, first uint64) {
 	t.Helper()
 	var records []*pb.Record
@@ -105,7 +105,7 @@
 	}
 }
 
-// unreadableFS is a file layer whose segments can't be read once it is broken.
+// unreadableFS is a file system on which reads fail while broken is set.
 type unreadableFS struct {
 	disk.FS
 	broken *atomic.Bool
--- a/internal/outputs/daemon/limits_test.go
+++ b/internal/outputs/daemon/limits_test.go
@@ -14,14 +14,14 @@
 	"reedtrack/internal/outputs/settings"
 )
 
-// newRandomBytes returns a source of bytes that do not compress, always the same.
+// newRandomBytes returns a deterministic source of incompressible bytes.
 func newRandomBytes() func() byte {
 	rnd := rand.New(rand.NewPCG(1, 1))
 	return func() byte { return byte(rnd.Uint32()) }
 }
 
-// appendUntilRefused appends random records, at most so many, and returns the
-// first error.
+// appendUntilRefused appends up to maxRecords random records and returns the first
+// error.
 func (w *testWriter) appendUntilRefused(d *Daemon, randomByte func() byte, most int) error {
 	for range most {
 		if err := w.appendRandom(d, randomByte); err != nil {
@@ -31,8 +31,8 @@
 	return nil
 }
 
-// A full store refuses writes with the reason and a time to come back, goes on
-// reading, and what it can't take goes to other stores.
+// A full store refuses writes with a reason and a retry delay and still serves reads.
+// Writes that it can't store go to other stores.
 func TestFullStoreRefusesWrites(t *testing.T) {
 	c := newTestCluster(t, nil)
 	c.modifyConfig = func(config *Config) {
@@ -59,7 +59,7 @@
 	if err != nil || read < len(w.acked) {
 		t.Errorf("read %d records of %d, error %v", read, len(w.acked), err)
 	}
-	c.startStore("s2", "c") // it has room
+	c.startStore("s2", "c") // has free space
 	c.waitForMembers(3)
 	if err := w.appendRandom(c.stores["s0"], randomByte); err != nil {
 		t.Errorf("append with room on a third store: %v", err)
--- a/internal/outputs/daemon/partition_test.go
+++ b/internal/outputs/daemon/partition_test.go
@@ -13,8 +13,9 @@
 	pb "reedtrack/internal/outputs/outputsv1"
 )
 
-// A reader of an open attempt at a store that has only the beginning and reaches
-// no other waits for them, and says who is away if they don't come back.
+// A store that is partitioned from the others and has only the first records of an open
+// attempt lets a read wait for the other stores. If they do not return, the response
+// names the unreachable ones.
 func TestReadAtPartitionedStore(t *testing.T) {
 	c := newTestCluster(t, slowRepair)
 	c.startStores("0", "1", "2")
@@ -48,8 +49,8 @@
 	}
 }
 
-// Without the key-value store the members known last go on, also after a restart
-// of one of them; a store that is not known stays outside.
+// During an outage of the key-value store the last known members keep working, even
+// after a restart of one of them. A second store with the same name can't join.
 func TestMembersKeptDuringStateOutage(t *testing.T) {
 	c := newTestCluster(t, nil)
 	c.startStores("a", "b")
@@ -90,7 +91,7 @@
 	c.state.SetOutage(false)
 	c.waitForMembers(2)
 	c.waitFor("the store to join", func() bool { return members.Problem() == "" })
-	// A second store of the same name, on another directory, stays outside.
+	// A second store with the same name but another data directory can't join.
 	config.Dir, config.KeyValueStore = filepath.Join(c.dir, "other"), c.newStateClient()
 	twin, err := Start(config)
 	if err != nil {
@@ -102,8 +103,8 @@
 	})
 }
 
-// A copy that a store holds in place of an owner is dropped once the owners have
-// it, and not before; an owner that has confirmed its copy keeps it.
+// A replica that a store holds in place of an unreachable owner is dropped after all
+// owners hold it, and not before. An owner keeps the replica that it confirmed.
 func TestHintedCopyDroppedOnceOwnersHaveIt(t *testing.T) {
 	c := newTestCluster(t, nil)
 	c.startStores("0", "1", "2")
--- a/internal/outputs/daemon/replication_test.go
+++ b/internal/outputs/daemon/replication_test.go
@@ -17,7 +17,7 @@
 	pb "reedtrack/internal/outputs/outputsv1"
 )
 
-// killTest kills stores in turn and starts them again while writers write.
+// killTest kills and restarts stores in turn while writers are active.
 type killTest struct {
 	*testCluster
 	rnd     *rand.Rand
@@ -28,7 +28,7 @@
 
 func zoneOfStore(i int) string { return []string{"a", "b"}[i%2] }
 
-// writeOnce lets a random writer write to a random store, and seal now and then.
+// writeOnce appends to a random attempt on a random store, and sometimes seals it.
 func (k *killTest) writeOnce() {
 	w := k.writers[k.rnd.IntN(len(k.writers))]
 	d := k.anyStore()
@@ -46,7 +46,8 @@
 	}
 }
 
-// checkReadable reads, while one store is away, all but what only that may hold.
+// checkReadable reads, while one store is down, all attempts except those that only
+// this store may hold.
 func (k *killTest) checkReadable(step int) {
 	k.t.Helper()
 	for _, w := range k.writers {
@@ -59,8 +60,8 @@
 	}
 }
 
-// Whatever was acknowledged is read from each store, while stores are killed and
-// at the end, each record once; and in the end enough stores hold it.
+// Acknowledged records can be read, each once, while stores are killed and restarted
+// and from every store at the end. Finally all attempts have enough complete replicas.
 func TestAcknowledgedRecordsSurviveKills(t *testing.T) {
 	k := &killTest{
 		testCluster: newTestCluster(t, nil),
@@ -110,8 +111,9 @@
 	t.Logf("%d requests refused", k.refused)
 }
 
-// An attempt that was given up writes on after the next one has ended, and from
-// two machines that both hold themselves for its writer: each output is complete.
+// The outputs of attempts of one task stay separate and complete, if a superseded
+// attempt continues to write after the next one has ended and if two machines both act
+// as the writer of one try.
 func TestWritersOfOneTaskAreKeptApart(t *testing.T) {
 	c := newTestCluster(t, nil)
 	c.startStores("a", "b")
@@ -133,8 +135,8 @@
 	}
 }
 
-// A member that is lost with its disk is replaced by copies on the others, after
-// which another one may go away; one that is being copied to may be killed.
+// After a member is lost with its disk, the other members copy its replicas, even if one
+// of them is killed during the repair. Afterwards another member may fail.
 func TestLostMemberIsReplicatedAgain(t *testing.T) {
 	c := newTestCluster(t, nil)
 	c.startStores("0", "1", "2")
@@ -164,12 +166,13 @@
 	if err != nil || len(page.Attempts) != 40 || len(page.Unreachable) != 1 {
 		t.Errorf("%d attempts listed, want 40; unreachable %v, want one; error %v", len(page.GetAttempts()), page.GetUnreachable(), err)
 	}
-	// A store with the old name and an empty disk is filled again.
+	// Repair copies the replicas to a store with the old name and an empty disk.
 	c.startStore("s1", "1")
 	c.waitFor("the empty store to be filled", func() bool { return allHaveCopies(writers, 2) })
 }
 
-// A member that was away finds by digests what it lacks, and copies only that.
+// A returning member finds the data that it lacks by comparing digests, and copies only
+// that.
 func TestReturningMemberCopiesOnlyWhatChanged(t *testing.T) {
 	c := newTestCluster(t, slowRepair)
 	c.startStores("a", "b")
@@ -200,7 +203,7 @@
 	c.setReachable(s0, false) // s1 can't copy yet
 	s1 := c.startStore("s1", "b")
 	c.waitForMembers(2)
-	// What is open on s1 and sealed on s0 is sealed.
+	// Attempts that are open on s1 but sealed on s0 are not listed as open.
 	page, err := c.listAttempts(s0, "", &pb.ListRequest{Job: testJob, Which: pb.Which_WHICH_OPEN, Limit: 1000})
 	if err != nil || len(page.Attempts) != 21 {
 		t.Errorf("%d attempts are listed as open, not 20 and the chunk's: %v", len(page.GetAttempts()), err)
@@ -221,8 +224,8 @@
 	}
 }
 
-// putChunk sends a chunk of an artefact to a store that has not heard of its
-// attempt yet.
+// putChunk sends a chunk of an artefact to a store before any other data of its
+// attempt.
 func putChunk(t *testing.T, d *Daemon, w *testWriter) {
 	t.Helper()
 	_, err := w.client(d).PutChunk(context.Background(), connect.NewRequest(&pb.PutChunkRequest{
@@ -235,7 +238,7 @@
 	}
 }
 
-// repairedAttempts is the counter of attempts of which something was copied.
+// repairedAttempts returns the counter of attempts of which data was copied.
 func repairedAttempts(t *testing.T) float64 {
 	t.Helper()
 	families, err := prometheus.DefaultGatherer.Gather()
--- a/internal/outputs/daemon/retention_test.go
+++ b/internal/outputs/daemon/retention_test.go
@@ -10,12 +10,12 @@
 	"reedtrack/internal/outputs/settings"
 )
 
-// oneHourRetention is a retention that does not end during a test.
+// oneHourRetention is a retention that does not expire during a test.
 var oneHourRetention = settings.Retention{Duration: time.Hour}
 
-// restartWithShortRetention restarts both stores with a retention that ends during the test. It
-// is not set from the beginning: on a slow machine it would be over before a test
-// had counted the copies.
+// restartWithShortRetention restarts both stores with a retention that expires during
+// the test. It is not set from the beginning because on a slow machine attempts would
+// expire before a test had counted their replicas.
 func (c *testCluster) restartWithShortRetention() {
 	c.t.Helper()
 	c.modifyConfig = func(config *Config) {
@@ -59,8 +59,8 @@
 	}
 }
 
-// A store that is to keep less does not get back from the other what it has
-// deleted, and does not delete it there.
+// A store with a shorter retention does not copy expired attempts back from its peer
+// and does not cause the peer to delete them.
 func TestShorterRetentionIsNotUndoneByPeer(t *testing.T) {
 	c := newTestCluster(t, func(o *settings.Outputs) { o.Retention = []settings.Retention{oneHourRetention} })
 	c.startStores("a", "b")
--- a/internal/outputs/daemon/storeid.go
+++ b/internal/outputs/daemon/storeid.go
@@ -15,9 +15,9 @@
 	storeIDBytes = 16
 )
 
-// loadStoreID returns the identity of a data directory and creates it in an empty
-// one. It stands for the content: a store that comes back under its name with an
-// empty disk is another member, and must not count as holding what it held.
+// loadStoreID returns the ID of a data directory and creates one if there is none. The
+// ID identifies the content: a store that returns under the same name with an empty
+// disk is a different member, which must not count as a holder of the old replicas.
 func loadStoreID(dir string) (string, error) {
 	path := filepath.Join(dir, storeIDFile)
 	raw, err := os.ReadFile(path)
--- a/internal/outputs/daemon/writer_test.go
+++ b/internal/outputs/daemon/writer_test.go
@@ -17,10 +17,10 @@
 	"reedtrack/internal/outputs/outputsv1/outputsv1connect"
 )
 
-// requestTimeout bounds a writer's or reader's request.
+// requestTimeout limits requests of writers and readers.
 const requestTimeout = 10 * time.Second
 
-// testWriter writes one attempt and remembers what was acknowledged to it.
+// testWriter writes one attempt and keeps the acknowledged records.
 type testWriter struct {
 	cluster   *testCluster
 	attempt   *pb.Attempt
@@ -28,10 +28,10 @@
 	token     string
 	acked     []*pb.Record
 	sealed    bool
-	minCopies uint32 // the fewest that an append was acknowledged with
+	minCopies uint32 // lowest number of copies with which an append was acknowledged
 }
 
-// newWriter makes a writer whose secret is made of a letter.
+// newWriter returns a writer whose secret is a repeated letter.
 func (c *testCluster) newWriter(task uint32, attempt uint64, letter string) *testWriter {
 	secret := []byte(strings.Repeat(letter, 16))
 	return &testWriter{
@@ -47,7 +47,7 @@
 
 func (w *testWriter) key() []byte { return outputs.Key(w.attempt) }
 
-// record makes the record with a sequence number, always the same.
+// record returns the record with a sequence number; its content is deterministic.
 func (w *testWriter) record(seq uint64) *pb.Record {
 	stream := pb.Stream_STREAM_STDOUT
 	if seq%3 == 2 {
@@ -61,7 +61,7 @@
 	}
 }
 
-// append sends so many more records to a store.
+// append sends the next n records to a store.
 func (w *testWriter) append(d *Daemon, n int) error {
 	var records []*pb.Record
 	for i := range n {
@@ -77,7 +77,7 @@
 	return nil
 }
 
-// appendRandom sends a record of random bytes, which does not compress.
+// appendRandom sends a record of incompressible random bytes.
 func (w *testWriter) appendRandom(d *Daemon, randomByte func() byte) error {
 	const size = 8 << 10
 	record := w.record(uint64(len(w.acked)))
@@ -104,7 +104,7 @@
 	return response, err
 }
 
-// seal ends the attempt with what was acknowledged.
+// seal ends the attempt after its acknowledged records.
 func (w *testWriter) seal(d *Daemon, exit int32) error {
 	digest := outputs.NewDigest()
 	for _, record := range w.acked {
@@ -123,8 +123,8 @@
 	return err
 }
 
-// read reads all of the attempt through a store and compares it with what was
-// acknowledged. What was sent and not acknowledged may follow it.
+// read reads the whole attempt through a store and compares it with the acknowledged
+// records. Records that were sent but not acknowledged may follow them.
 func (w *testWriter) read(d *Daemon) error {
 	stores, err := client.New([]string{d.URL}, w.token, "")
 	if err != nil {
@@ -158,7 +158,7 @@
 	return a.Seq == b.Seq && bytes.Equal(a.Data, b.Data) && a.Stream == b.Stream && a.AtNs == b.AtNs
 }
 
-// completeCopies is how many stores hold all of the attempt.
+// completeCopies returns the number of stores with a complete replica.
 func (w *testWriter) completeCopies() int {
 	n := 0
 	for _, d := range w.cluster.stores {
@@ -169,7 +169,7 @@
 	return n
 }
 
-// owners are the names of the members that should hold the attempt.
+// owners returns the names of the members that should hold the attempt.
 func (w *testWriter) owners() []string {
 	d := w.cluster.anyStore()
 	view := d.Node.Membership().View()
@@ -180,7 +180,8 @@
 	return names
 }
 
-// allHaveCopies reports whether each attempt is held completely by so many stores.
+// allHaveCopies reports whether each attempt has exactly the given number of complete
+// replicas.
 func allHaveCopies(writers []*testWriter, copies int) bool {
 	return !slices.ContainsFunc(writers, func(w *testWriter) bool { return w.completeCopies() != copies })
 }
--- a/internal/outputs/serve/doc.go
+++ b/internal/outputs/serve/doc.go
@@ -1,8 +1,8 @@
-// Package serve answers the requests that a store gets: the RPC services of writers,
-// readers and other stores, and plain HTTP pages for people with a browser or curl.
+// Package serve handles the requests to a store: the RPC services for writers, readers
+// and other stores, and plain HTTP pages for browsers and curl.
 //
-// [New] makes the handler and [Serve] runs it on a listener. Every request but /up
-// and /metrics needs a token (see package access); the services then check what the
-// caller may do. The work itself is done by a [cluster.Node]: this package holds no
-// state but the slots that bound how many requests run at once.
+// [New] creates the handler and [Serve] runs it on a listener. Every request except
+// /up and /metrics needs a token (see package access) if tokens are configured; the
+// services then authorize the caller. A [cluster.Node] does the actual work. The only
+// state of this package is the slots that limit the number of concurrent requests.
 package serve
--- a/internal/outputs/serve/download.go
+++ b/internal/outputs/serve/download.go
@@ -19,8 +19,8 @@
 // streamNames are the values of the query parameter "stream".
 var streamNames = map[string]pb.Stream{"stdout": pb.Stream_STREAM_STDOUT, "stderr": pb.Stream_STREAM_STDERR}
 
-// log sends an attempt's output as text, escaped so that it can't steer a terminal,
-// or with raw=1 as it is.
+// log sends an attempt's output as text, with terminal control sequences escaped, or
+// unchanged with raw=1.
 func (p pages) log(c echo.Context) error {
 	s, err := p.findAttempt(c)
 	if err != nil {
@@ -32,7 +32,8 @@
 	}
 	raw := queryFlag(c, "raw")
 	w := c.Response()
-	// The status waits for the first message: until then an error can be answered.
+	// The status is sent with the first message, so that errors before it can still
+	// set another status.
 	begin := func() {
 		if w.Committed {
 			return
@@ -77,8 +78,8 @@
 	return q, nil
 }
 
-// appendLog appends a message of a read as it stands in a log. Raw, it is the task's
-// bytes alone; otherwise gaps and holes have a line each.
+// appendLog appends the log text of a read message. In raw mode this is only the task's
+// output; otherwise each gap and hole is described on a line of its own.
 func appendLog(to []byte, m *pb.ReadResponse, raw bool) []byte {
 	for _, r := range m.Records {
 		switch {
@@ -99,15 +100,14 @@
 	return to
 }
 
-// fetch sends an artefact. A Range that begins somewhere and ends at the end is
-// honoured.
+// fetch sends an artefact. It supports ranges that extend to the end of the artefact.
 func (p pages) fetch(c echo.Context) error {
 	s, err := p.findAttempt(c)
 	if err != nil {
 		return err
 	}
 	name := c.Param("*")
-	if c.Request().URL.RawPath != "" { // echo leaves the parameter escaped then
+	if c.Request().URL.RawPath != "" { // in this case echo leaves the parameter escaped
 		if name, err = url.PathUnescape(name); err != nil {
 			return invalidField("path", "not an escaped path")
 		}
@@ -129,7 +129,7 @@
 	})
 }
 
-// parseRange reads a Range header of the form bytes=N-. Others are passed over, as
+// parseRange parses a Range header of the form bytes=N-. Other forms are ignored, as
 // HTTP allows.
 func parseRange(header string) (offset uint64, ok bool) {
 	from, ok := strings.CutPrefix(header, "bytes=")
--- a/internal/outputs/serve/errors.go
+++ b/internal/outputs/serve/errors.go
@@ -17,15 +17,15 @@
 )
 
 const (
-	// shortRetryDelay is for what passes by itself: a queue that drains, a member that
-	// comes back.
+	// shortRetryDelay is for transient conditions, such as a full queue or an
+	// unreachable member.
 	shortRetryDelay = time.Second
-	// fullDiskRetryDelay gives compaction time to free something.
+	// fullDiskRetryDelay gives compaction time to free space.
 	fullDiskRetryDelay = 5 * time.Second
 )
 
-// connectError turns an error into what the caller is told: a code, the reason, and
-// in Retry-After when to retry, if that helps.
+// connectError converts an error to a Connect error with a code and the reason. If a
+// retry can succeed, the error has the header Retry-After.
 func connectError(err error) error {
 	if err == nil {
 		return nil
@@ -60,7 +60,7 @@
 	return newError(connect.CodeInternal, err, 0)
 }
 
-// forwardedError passes on the answer of a peer.
+// forwardedError returns a peer's error for the caller.
 func forwardedError(remote *connect.Error) error {
 	code, retryAfter := remote.Code(), time.Duration(0)
 	if code == connect.CodeUnavailable || code == connect.CodeResourceExhausted {
@@ -69,8 +69,8 @@
 	return newError(code, errors.New(remote.Message()), retryAfter)
 }
 
-// newError returns an error with a code, and with Retry-After in whole seconds unless
-// that is 0.
+// newError returns an error with a code. If retryAfter is positive, the error has the
+// header Retry-After in whole seconds, rounded up.
 func newError(code connect.Code, err error, retryAfter time.Duration) error {
 	e := connect.NewError(code, err)
 	if retryAfter > 0 {
@@ -79,14 +79,15 @@
 	return e
 }
 
-// invalidField refuses a request because of one of its fields.
+// invalidField returns the error for a request with an invalid field.
 func invalidField(field, reason string) error {
 	return connectError(&protocol.InvalidFieldError{Field: field, Reason: reason})
 }
 
 func permissionDenied(err error) error { return connect.NewError(connect.CodePermissionDenied, err) }
 
-// overloaded refuses a request because too many of its kind run at once.
+// overloaded returns the error for a request that exceeds the concurrency limit of its
+// kind.
 func overloaded(kind string) error {
 	return newError(connect.CodeUnavailable, errors.New("too many "+kind+" at once"), shortRetryDelay)
 }
--- a/internal/outputs/serve/findattempt.go
+++ b/internal/outputs/serve/findattempt.go
@@ -13,14 +13,14 @@
 	pb "reedtrack/internal/outputs/outputsv1"
 )
 
-// findPageSize is the limit of one list request of [pages.findAttempt]: the highest
-// that is allowed, since all attempts of the task are looked at.
+// findPageSize is the page size of list requests of [pages.findAttempt]: the maximum,
+// because all attempts of the task are examined.
 const findPageSize = 1000
 
-// attemptSelector says which attempts of a task a request for a page may be about.
+// attemptSelector selects attempts of a task by the query parameters of a request.
 type attemptSelector struct {
 	try uint64 // 0: any
-	run string // a prefix of the run in hex; empty: any
+	run string // hexadecimal prefix of the run; empty: any
 }
 
 func (s attemptSelector) matches(a *pb.Attempt) bool {
@@ -30,8 +30,8 @@
 	return s.run == "" || strings.HasPrefix(hex.EncodeToString(a.Run), s.run)
 }
 
-// findAttempt returns the attempt that a request is about: by try and run where they
-// are given, otherwise the newest of the task.
+// findAttempt returns the newest attempt of the requested task that matches the try and
+// run, if these are given.
 func (p pages) findAttempt(c echo.Context) (*pb.Summary, error) {
 	task, err := strconv.ParseUint(c.Param("task"), 10, 32)
 	if err != nil {
@@ -70,7 +70,7 @@
 	return newest, nil
 }
 
-// isNewer reports whether one attempt of a task came after another.
+// isNewer reports whether attempt a of a task is newer than b.
 func isNewer(a, b *pb.Summary) bool {
 	if a.Attempt.Try != b.Attempt.Try {
 		return a.Attempt.Try > b.Attempt.Try
--- a/internal/outputs/serve/golden_test.go
+++ b/internal/outputs/serve/golden_test.go
@@ -14,9 +14,9 @@
 	"reedtrack/internal/outputs/serve"
 )
 
-// The pages, their answers in JSON and the metrics' names stay as they were. The
-// templates name fields, functions and map keys at run time alone: a renamed one
-// fails here.
+// The pages, their JSON form and the names of the metrics must not change. Templates
+// resolve fields, functions and map keys only at run time, so a renamed one is found
+// only by this test.
 func TestPagesGolden(t *testing.T) {
 	d := startDaemon(t, serve.ConcurrencyLimits{})
 	writeAttempt(t, d, 3)
@@ -27,7 +27,7 @@
 		/jobs/wk-000008/3/artefacts?json=1 /jobs/wk-x /jobs/wk-000008?which=some /jobs/wk-000008/x/log /jobs/wk-000008/5/log
 		/jobs/wk-000008/3/log?tail=-1 /jobs/wk-000008/3/log?stream=both /jobs/wk-000008/3/artefacts/none /nothing /jobs/wk-000008?after=zz`) {
 		code, text, h := httpGet(t, d.URL+path)
-		var compact bytes.Buffer // protojson varies the spaces
+		var compact bytes.Buffer // protojson output has random whitespace
 		if json.Compact(&compact, []byte(text)) == nil {
 			text = varies.ReplaceAllString(compact.String(), `"$1":"N"`) + "\n"
 		}
--- a/internal/outputs/serve/metrics.go
+++ b/internal/outputs/serve/metrics.go
@@ -8,7 +8,7 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// Metrics of requests.
+// Request metrics.
 var (
 	requestsTotal = prometheus.NewCounterVec(prometheus.CounterOpts{Name: "reedtrack_outputs_requests_total",
 		Help: "Requests answered, by path of the RPC or page, and result."}, []string{"path", "result"})
@@ -19,7 +19,7 @@
 
 func init() { prometheus.MustRegister(requestsTotal, requestSeconds) }
 
-// observeRequest counts and times a request that has been answered.
+// observeRequest records the result and duration of a completed request.
 func observeRequest(path string, start time.Time, err error) {
 	result := "ok"
 	if err != nil {
@@ -29,10 +29,10 @@
 	requestSeconds.WithLabelValues(path).Observe(time.Since(start).Seconds())
 }
 
-// metricsInterceptor observes the requests of the RPC services.
+// metricsInterceptor records metrics of the RPC services.
 type metricsInterceptor struct{}
 
-// WrapUnary observes a unary request.
+// WrapUnary records metrics of unary requests.
 func (metricsInterceptor) WrapUnary(next connect.UnaryFunc) connect.UnaryFunc {
 	return func(ctx context.Context, r connect.AnyRequest) (connect.AnyResponse, error) {
 		start := time.Now()
@@ -42,12 +42,12 @@
 	}
 }
 
-// WrapStreamingClient changes nothing: the interceptor is for handlers.
+// WrapStreamingClient returns next unchanged: the interceptor is for handlers only.
 func (metricsInterceptor) WrapStreamingClient(next connect.StreamingClientFunc) connect.StreamingClientFunc {
 	return next
 }
 
-// WrapStreamingHandler observes a stream at its end.
+// WrapStreamingHandler records metrics of a stream when it ends.
 func (metricsInterceptor) WrapStreamingHandler(next connect.StreamingHandlerFunc) connect.StreamingHandlerFunc {
 	return func(ctx context.Context, c connect.StreamingHandlerConn) error {
 		start := time.Now()
--- a/internal/outputs/serve/pages.go
+++ b/internal/outputs/serve/pages.go
@@ -18,8 +18,8 @@
 	pb "reedtrack/internal/outputs/outputsv1"
 )
 
-// pages are for people with a browser or curl. Each listing is also there as JSON
-// with ?json=1.
+// pages handles the HTTP pages for browsers and curl. Each listing is also available as
+// JSON with ?json=1.
 type pages struct{ reader *readerService }
 
 func (p pages) routes(e *echo.Echo) {
@@ -33,8 +33,8 @@
 	e.GET("/jobs/:job/:task/artefacts/*", instrumented("/jobs/:job/:task/artefacts/*", p.fetch))
 }
 
-// instrumented observes a page's requests, and sets the headers that keep a task's
-// output from acting in the reader's browser.
+// instrumented wraps the handler of a page with request metrics, and sets the security
+// headers that keep browsers from executing a task's output.
 func instrumented(path string, next echo.HandlerFunc) echo.HandlerFunc {
 	return func(c echo.Context) error {
 		start := time.Now()
@@ -47,10 +47,10 @@
 	}
 }
 
-// writeError answers a request for a page with an error as a line of text.
+// writeError responds to a request for a page with an error as a line of text.
 func writeError(err error, c echo.Context) {
 	if c.Response().Committed {
-		return // in the middle of a stream: the broken connection tells
+		return // the response has started; the broken connection signals the error
 	}
 	var httpError *echo.HTTPError
 	if errors.As(err, &httpError) {
@@ -68,7 +68,7 @@
 	c.String(httpStatus(err), text+"\n")
 }
 
-// queryFlag reports whether a query parameter is set to a true value.
+// queryFlag returns the boolean value of a query parameter, false if it is invalid.
 func queryFlag(c echo.Context, name string) bool {
 	v, _ := strconv.ParseBool(c.QueryParam(name))
 	return v
--- a/internal/outputs/serve/pages_test.go
+++ b/internal/outputs/serve/pages_test.go
@@ -39,8 +39,8 @@
 
 var secret = []byte("0123456789abcdef")
 
-// writeAttempt stores a failed attempt with a hostile log, and an artefact with a
-// hostile name.
+// writeAttempt stores a failed attempt with escape sequences and HTML in its log, its
+// machine name and the path of its artefact.
 func writeAttempt(t *testing.T, d *daemon.Daemon, task uint32) *pb.Attempt {
 	t.Helper()
 	ctx := context.Background()
@@ -85,8 +85,8 @@
 	return resp.StatusCode, string(raw), resp.Header
 }
 
-// Pages escape logs and names, links lead to what they name, ranges of artefacts are
-// honoured, and errors are plain text.
+// Pages escape logs and names, links to artefacts work, ranges of artefacts are
+// supported, and errors are plain text.
 func TestPagesEscapeAndLink(t *testing.T) {
 	d := startDaemon(t, serve.ConcurrencyLimits{})
 	writeAttempt(t, d, 3)
@@ -142,8 +142,8 @@
 	}
 }
 
-// A read beyond the limit is refused at once with Retry-After, and a job array is
-// listed page by page with each attempt once.
+// A read beyond the concurrency limit is refused immediately with Retry-After. The
+// pages of a job array's listing contain each attempt once.
 func TestConcurrencyLimitsAndPaging(t *testing.T) {
 	d := startDaemon(t, serve.ConcurrencyLimits{Writes: 64, Reads: 1, Follows: 1, Connections: 100})
 	a := writeAttempt(t, d, 0)
--- a/internal/outputs/serve/peer.go
+++ b/internal/outputs/serve/peer.go
@@ -11,11 +11,11 @@
 	pb "reedtrack/internal/outputs/outputsv1"
 )
 
-// peerService serves other stores. Its unary methods are those of the node or of its
-// store; only the token of a peer opens them.
+// peerService is the RPC service for other stores. Its unary methods call the node or
+// its store, and are authorized only for peers.
 type peerService struct{ node *cluster.Node }
 
-// handlePeer answers a unary request if the caller is a peer.
+// handlePeer handles a unary request if the caller is a peer.
 func handlePeer[T any](ctx context.Context, answer func() (*T, error)) (*connect.Response[T], error) {
 	if err := callerOf(ctx).AuthorizePeer(); err != nil {
 		return nil, permissionDenied(err)
@@ -39,7 +39,7 @@
 	return handlePeer(ctx, func() (*pb.ScanResponse, error) { return p.node.Scan(r.Msg), nil })
 }
 
-// Held tells what is held of some attempts.
+// Held describes the replicas that this member holds of the given attempts.
 func (p *peerService) Held(ctx context.Context, r *connect.Request[pb.HeldRequest]) (*connect.Response[pb.HeldResponse], error) {
 	return handlePeer(ctx, func() (*pb.HeldResponse, error) {
 		answer := new(pb.HeldResponse)
@@ -60,7 +60,7 @@
 	return connectError(p.node.Blocks(ctx, r.Msg, stream.Send))
 }
 
-// GetSeal returns an attempt's seal, and what is known of its beginning.
+// GetSeal returns an attempt's seal and the metadata of its start.
 func (p *peerService) GetSeal(ctx context.Context, r *connect.Request[pb.GetSealRequest]) (*connect.Response[pb.GetSealResponse], error) {
 	return handlePeer(ctx, func() (*pb.GetSealResponse, error) {
 		seal, meta := p.node.Store().Seal(r.Msg.Key)
@@ -68,8 +68,8 @@
 	})
 }
 
-// GetChunk returns a chunk. A damaged one counts as missing, so that the peer asks
-// another member.
+// GetChunk returns a chunk. A damaged chunk is reported as not found, so that the peer
+// tries another member.
 func (p *peerService) GetChunk(ctx context.Context, r *connect.Request[pb.GetChunkRequest]) (*connect.Response[pb.GetChunkResponse], error) {
 	return handlePeer(ctx, func() (*pb.GetChunkResponse, error) {
 		chunk, err := p.node.Store().Chunk(r.Msg.Team, r.Msg.Sha256)
@@ -80,29 +80,29 @@
 	})
 }
 
-// HasChunks tells which chunks are missing here.
+// HasChunks returns the chunks that are missing on this member.
 func (p *peerService) HasChunks(ctx context.Context, r *connect.Request[pb.HasChunksRequest]) (*connect.Response[pb.HasChunksResponse], error) {
 	return handlePeer(ctx, func() (*pb.HasChunksResponse, error) {
 		return &pb.HasChunksResponse{Missing: p.node.Store().MissingChunks(r.Msg.Team, r.Msg.Sha256)}, nil
 	})
 }
 
-// Digests returns digests for a round of repair.
+// Digests returns the digests for a repair round.
 func (p *peerService) Digests(ctx context.Context, r *connect.Request[pb.DigestsRequest]) (*connect.Response[pb.DigestsResponse], error) {
 	return handlePeer(ctx, func() (*pb.DigestsResponse, error) { return p.node.Digests(r.Msg), nil })
 }
 
-// Bucket lists the attempts behind some digests.
+// Bucket lists the attempts in the requested digest buckets.
 func (p *peerService) Bucket(ctx context.Context, r *connect.Request[pb.BucketRequest]) (*connect.Response[pb.BucketResponse], error) {
 	return handlePeer(ctx, func() (*pb.BucketResponse, error) { return p.node.Bucket(r.Msg), nil })
 }
 
-// Confirm tells a peer whether it may drop its replicas.
+// Confirm confirms replicas to a peer that wants to drop its own.
 func (p *peerService) Confirm(ctx context.Context, r *connect.Request[pb.ConfirmRequest]) (*connect.Response[pb.ConfirmResponse], error) {
 	return handlePeer(ctx, func() (*pb.ConfirmResponse, error) { return p.node.Confirm(r.Msg), nil })
 }
 
-// Status tells how full this store is.
+// Status returns the storage usage of this store.
 func (p *peerService) Status(ctx context.Context, _ *connect.Request[pb.StatusRequest]) (*connect.Response[pb.StatusResponse], error) {
 	return handlePeer(ctx, func() (*pb.StatusResponse, error) { return p.node.LocalStatus(), nil })
 }
--- a/internal/outputs/serve/reader.go
+++ b/internal/outputs/serve/reader.go
@@ -16,14 +16,14 @@
 	"reedtrack/internal/protocol"
 )
 
-// readerService serves people, by RPC and through [pages].
+// readerService is the RPC service for readers. It is also used by [pages].
 type readerService struct {
 	node        *cluster.Node
 	slots       chan struct{}
-	followSlots chan struct{} // of reads that may stay for hours
+	followSlots chan struct{} // for reads with Follow, which may last for hours
 }
 
-// authorize checks a caller's right to read an attempt.
+// authorize returns an error if the caller may not read an attempt.
 func (s *readerService) authorize(ctx context.Context, a *pb.Attempt) error {
 	if err := outputs.CheckAttempt(a); err != nil {
 		return connectError(err)
@@ -74,7 +74,7 @@
 	return answer, connectError(err)
 }
 
-// response wraps the answer to an RPC, whose errors have a code already.
+// response wraps the result of an RPC. Its error must be a Connect error already.
 func response[T any](answer *T, err error) (*connect.Response[T], error) {
 	if err != nil {
 		return nil, err
@@ -106,12 +106,12 @@
 	return connectError(s.node.Read(ctx, q, emit))
 }
 
-// Fetch streams an artefact from an offset on.
+// Fetch streams an artefact, starting at an offset.
 func (s *readerService) Fetch(ctx context.Context, r *connect.Request[pb.FetchRequest], stream *connect.ServerStream[pb.FetchResponse]) error {
 	return s.fetch(ctx, r.Msg, stream.Send)
 }
 
-// fetch sends first the description of an artefact, then its data chunk by chunk.
+// fetch sends the description of an artefact and then its data, chunk by chunk.
 func (s *readerService) fetch(ctx context.Context, q *pb.FetchRequest, send func(*pb.FetchResponse) error) error {
 	d, err := s.describe(ctx, q.Attempt)
 	if err != nil {
@@ -145,7 +145,7 @@
 	return nil
 }
 
-// findArtefact returns the artefact of a path; nil: there is none.
+// findArtefact returns the artefact with a path, or nil.
 func findArtefact(seal *pb.Seal, path string) *pb.Artefact {
 	var found *pb.Artefact
 	for _, f := range seal.GetArtefacts() {
@@ -156,13 +156,13 @@
 	return found
 }
 
-// chunkData returns the data from an offset to the end of the chunk that it is in.
+// chunkData returns the data from an offset to the end of the chunk that contains it.
 func (s *readerService) chunkData(ctx context.Context, a *pb.Attempt, artefact *pb.Artefact, offset uint64) ([]byte, error) {
 	index := offset / outputs.ChunkSize
 	start := index * outputs.ChunkSize
 	data, err := s.node.Chunk(ctx, a.Team, artefact.Chunks[index], outputs.Route(outputs.Key(a)))
 	if errors.Is(err, disk.ErrNotFound) {
-		// The seal names it, so it exists: for the reader it is unavailable.
+		// The seal refers to the chunk, so it exists but is currently unavailable.
 		err = fmt.Errorf("bytes from %d on: %w", start, cluster.ErrUnavailable)
 	}
 	if err != nil {
--- a/internal/outputs/serve/server.go
+++ b/internal/outputs/serve/server.go
@@ -19,44 +19,44 @@
 )
 
 const (
-	maxMessageBytes  = 16 << 20 // of one RPC message: a block or chunk, with ample room for its fields
-	minCompressBytes = 4 << 10  // smaller answers are not worth compressing
+	maxMessageBytes  = 16 << 20 // of one RPC message: well above the size of a block or chunk with its fields
+	minCompressBytes = 4 << 10  // smaller responses are not worth compressing
 	maxHeaderBytes   = 32 << 10
 	headerTimeout    = 10 * time.Second
-	idleTimeout      = 3 * time.Minute // longer than the pauses of a writer, so that it keeps its connection
-	shutdownTimeout  = 2 * time.Second // given to requests under way
+	idleTimeout      = 3 * time.Minute // longer than the pauses of a writer, so that its connection stays open
+	shutdownTimeout  = 2 * time.Second // for requests in progress
 )
 
-// Paths that need no token: they are for monitoring.
+// Paths for monitoring, which need no token.
 const (
 	upPath      = "/up"
 	metricsPath = "/metrics"
 )
 
-// rpcPathPrefix begins the paths of all RPC services.
+// rpcPathPrefix is the path prefix of all RPC services.
 const rpcPathPrefix = "/reedtrack.outputs."
 
-// ConcurrencyLimits bound how many requests of a kind run at once. What goes beyond
-// is refused at once, with Retry-After.
+// ConcurrencyLimits limit the number of concurrent requests of each kind and of
+// connections. Requests beyond a limit are refused immediately, with Retry-After.
 type ConcurrencyLimits struct {
 	Writes      int
 	Reads       int
-	Follows     int // reads that stay for what is yet to come
+	Follows     int // reads that wait for new records
 	Connections int
 }
 
-// DefaultConcurrencyLimits fit a store with some thousands of writers, each of which
-// has a request under way now and then.
+// DefaultConcurrencyLimits returns limits for a store with some thousands of writers,
+// each of which sends a request from time to time.
 func DefaultConcurrencyLimits() ConcurrencyLimits {
 	return ConcurrencyLimits{Writes: 1024, Reads: 64, Follows: 512, Connections: 8192}
 }
 
-// New returns the handler of a store's requests.
+// New returns the handler for requests to a store.
 func New(node *cluster.Node, tokens *access.TokenSet, limits ConcurrencyLimits, options ...connect.HandlerOption) http.Handler {
 	return authenticate(tokens, routes(node, limits, options))
 }
 
-// routes returns the handler of requests that have been authenticated.
+// routes returns the handler for authenticated requests.
 func routes(node *cluster.Node, limits ConcurrencyLimits, options []connect.HandlerOption) http.Handler {
 	options = append([]connect.HandlerOption{
 		connect.WithReadMaxBytes(maxMessageBytes),
@@ -87,8 +87,8 @@
 	return e
 }
 
-// authenticate puts the caller into each request's context, and refuses requests
-// without a known token.
+// authenticate adds the caller to the context of each request, and refuses requests
+// without a valid token.
 func authenticate(tokens *access.TokenSet, next http.Handler) http.Handler {
 	rpcErrors := connect.NewErrorWriter()
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -117,7 +117,8 @@
 	return context.WithValue(ctx, callerKey{}, caller)
 }
 
-// callerOf returns the caller of a request; one without rights if there is none.
+// callerOf returns the caller in a context, or one without permissions if there is
+// none.
 func callerOf(ctx context.Context) access.Caller {
 	caller, _ := ctx.Value(callerKey{}).(access.Caller)
 	return caller
@@ -126,8 +127,8 @@
 // Server is a running HTTP server of a store.
 type Server struct{ http *http.Server }
 
-// Serve starts to serve a handler on a listener, which it takes over. Without keys it
-// serves plain HTTP.
+// Serve starts a server for a handler on a listener, of which it takes ownership.
+// Without a certificate it serves plain HTTP.
 func Serve(ln net.Listener, h http.Handler, keys *access.CertificateReloader, limits ConcurrencyLimits) *Server {
 	ln = transport.LimitListener(ln, limits.Connections)
 	if keys != nil {
@@ -143,7 +144,7 @@
 	return s
 }
 
-// Close stops the server. Requests under way are given a moment.
+// Close stops the server. It gives requests in progress a short time to finish.
 func (s *Server) Close() error {
 	ctx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
@@ -153,5 +154,5 @@
 	return nil
 }
 
-// Kill cuts off the requests under way.
+// Kill stops the server and aborts requests in progress.
 func (s *Server) Kill() { s.http.Close() }
--- a/internal/outputs/serve/slots.go
+++ b/internal/outputs/serve/slots.go
@@ -1,7 +1,7 @@
 package serve
 
-// acquireSlot takes one of a fixed number of slots, or refuses at once: a queue would
-// only make the callers' own timeouts run out.
+// acquireSlot acquires one of a fixed number of slots, or fails immediately. It does
+// not queue requests because their callers would time out.
 func acquireSlot(slots chan struct{}, kind string) (release func(), err error) {
 	select {
 	case slots <- struct{}{}:
--- a/internal/outputs/serve/templates.go
+++ b/internal/outputs/serve/templates.go
@@ -18,7 +18,7 @@
 td,th{padding:.15em .8em;text-align:right;border-bottom:1px solid #ddd}td:first-child,th:first-child{text-align:left}
 .bad{color:#b00}code{background:#f4f4f4;padding:0 .2em}</style>`
 
-// homePage shows a *pb.MembersResponse.
+// homePage renders a *pb.MembersResponse.
 var homePage = template.Must(template.New("home").Funcs(templateFuncs).Parse(`<!DOCTYPE html>
 <html lang="en"><head><meta charset="utf-8"><title>reedtrack outputs</title>` + style + `</head><body>
 <h1>Outputs of tasks</h1>
@@ -29,7 +29,7 @@
 {{if not .StateKnown}}<p class="bad">The state service has not answered for a while; the stores known last go on.</p>{{end}}
 </body></html>`))
 
-// jobPage shows a jobPageData.
+// jobPage renders a jobPageData.
 var jobPage = template.Must(template.New("job").Funcs(templateFuncs).Parse(`<!DOCTYPE html>
 <html lang="en"><head><meta charset="utf-8"><title>{{.Job}}</title>` + style + `</head><body>
 <h1>{{.Job}}</h1>
@@ -44,7 +44,7 @@
 {{if .Next}}<p><a href="/jobs/{{.Job}}?which={{.Which}}&amp;after={{.Next}}">next page</a></p>{{end}}
 </body></html>`))
 
-// filesPage shows a filesPageData.
+// filesPage renders a filesPageData.
 var filesPage = template.Must(template.New("files").Funcs(templateFuncs).Parse(`<!DOCTYPE html>
 <html lang="en"><head><meta charset="utf-8"><title>{{.Name}}</title>` + style + `</head><body>
 <h1>{{.Name}}</h1><p><a href="/jobs/{{.Summary.Attempt.Job}}">all of the job</a></p>
@@ -54,16 +54,16 @@
 {{range .Seal.GetRefused}}<tr><td>{{.Path}}</td><td></td><td class="bad">not kept: {{.Reason}}</td></tr>{{end}}</table>
 </body></html>`))
 
-// jobPageData is what jobPage shows: one page of a job's attempts.
+// jobPageData is the data of jobPage: one page of a job's attempts.
 type jobPageData struct {
 	Job         string
-	Which       string // the filter, as it was given
+	Which       string // value of the query parameter
 	Attempts    []*pb.Summary
 	Unreachable []string
-	Next        string // where the next page begins; empty: there is none
+	Next        string // start of the next page; empty: last page
 }
 
-// filesPageData is what filesPage shows: the artefacts of an attempt.
+// filesPageData is the data of filesPage: the artefacts of an attempt.
 type filesPageData struct {
 	Name    string
 	Summary *pb.Summary
@@ -79,7 +79,7 @@
 	"file":  artefactLink,
 }
 
-// lastOutputTime returns when an attempt wrote its last record; empty: never.
+// lastOutputTime returns the time of an attempt's last record, or "" if it has none.
 func lastOutputTime(s *pb.Summary) string {
 	if s.Tally.GetLastNs() == 0 {
 		return ""
@@ -87,12 +87,12 @@
 	return time.Unix(0, s.Tally.LastNs).UTC().Format("2006-01-02 15:04:05Z")
 }
 
-// attemptLink returns the address of one of an attempt's pages.
+// attemptLink returns the URL path and query of an attempt's page.
 func attemptLink(a *pb.Attempt, page string) string {
 	return fmt.Sprintf("/jobs/%s/%d/%s?try=%d&run=%x", a.Job, a.Task, page, a.Try, a.Run)
 }
 
-// artefactLink returns the address of an artefact's content.
+// artefactLink returns the URL path and query of an artefact's content.
 func artefactLink(s *pb.Summary, f *pb.Artefact) string {
 	path, query, _ := strings.Cut(attemptLink(s.Attempt, "artefacts"), "?")
 	segments := strings.Split(f.Path, "/")
@@ -102,8 +102,8 @@
 	return path + "/" + strings.Join(segments, "/") + "?" + query
 }
 
-// render answers with a page. It is rendered in whole first, so that an error of the
-// template is still answered as one.
+// render responds with a page. The page is rendered completely before it is sent, so
+// that template errors can still be reported.
 func render(c echo.Context, t *template.Template, data any) error {
 	var b strings.Builder
 	if err := t.Execute(&b, data); err != nil {
--- a/internal/outputs/serve/writer.go
+++ b/internal/outputs/serve/writer.go
@@ -12,14 +12,14 @@
 	pb "reedtrack/internal/outputs/outputsv1"
 )
 
-// writerService serves the captures that send outputs.
+// writerService is the RPC service for writers, which capture the output of tasks.
 type writerService struct {
 	node  *cluster.Node
 	slots chan struct{}
 }
 
-// authorize checks a writer's right to an attempt: the token of its team, and the
-// secret behind the attempt's name.
+// authorize returns an error if the caller may not write an attempt. It checks the
+// token's team, the attempt's secret and the name of the job class.
 func (w *writerService) authorize(ctx context.Context, a *pb.Attempt, secret []byte, meta *pb.Meta) error {
 	if err := outputs.CheckAttempt(a); err != nil {
 		return connectError(err)
@@ -36,7 +36,7 @@
 	return nil
 }
 
-// handleWrite runs a write in one of the service's slots.
+// handleWrite handles a write request in one of the service's slots.
 func handleWrite[T any](w *writerService, write func() (*T, error)) (*connect.Response[T], error) {
 	release, err := acquireSlot(w.slots, "writes")
 	if err != nil {
@@ -50,8 +50,8 @@
 	return connect.NewResponse(answer), nil
 }
 
-// Open records that an attempt has begun, and tells its writer the limits and where
-// to send.
+// Open records that an attempt has started. The response holds the limits and the
+// members' addresses in order of preference.
 func (w *writerService) Open(ctx context.Context, r *connect.Request[pb.OpenRequest]) (*connect.Response[pb.OpenResponse], error) {
 	q := r.Msg
 	if err := w.authorize(ctx, q.Attempt, q.Secret, q.Meta); err != nil {
@@ -91,7 +91,7 @@
 	})
 }
 
-// MissingChunks tells a writer which chunks of its artefacts it has to send.
+// MissingChunks returns the chunks of its artefacts that a writer has to send.
 func (w *writerService) MissingChunks(ctx context.Context, r *connect.Request[pb.MissingChunksRequest]) (*connect.Response[pb.MissingChunksResponse], error) {
 	q := r.Msg
 	if err := w.authorize(ctx, q.Attempt, q.Secret, nil); err != nil {
--- a/internal/outputs/settings/settings.go
+++ b/internal/outputs/settings/settings.go
@@ -1,7 +1,7 @@
-// Package settings reads the part of the operators' XML that is about task
-// outputs, the element <outputs>. [XML] is the element as it is written, and
-// [Outputs] what follows from it. Controllers use only the address of the page for
-// links to it; the stores use all of it.
+// Package settings reads the settings of task outputs, which are the element <outputs>
+// of the operators' XML file. [XML] is the element as written, and [Outputs] holds the
+// resulting settings. Controllers use only the URL of the page, for links to it; the
+// stores use all settings.
 package settings
 
 import (
@@ -11,27 +11,27 @@
 
 const day = 24 * time.Hour
 
-// Outputs are the settings of task outputs. Sizes are in bytes, rates in bytes a
+// Outputs are the settings of task outputs. Sizes are in bytes, rates in bytes per
 // second.
 type Outputs struct {
-	Page string // URL where people read outputs; empty: no links to it
+	Page string // URL of the page with outputs; empty: no links
 
 	Copies     int
-	Lease      time.Duration // without a renewal, a member is gone after this
-	StateShare float64       // of the state service's rate, for all stores together
+	Lease      time.Duration // a member's lease expires without a renewal in this time
+	StateShare float64       // fraction of the state service's rates, for all stores together
 
 	SegmentBytes  int64
-	MaxBytes      uint64 // on one store's disk; 0: no bound
-	ReserveBytes  uint64 // of the disk left free
+	MaxBytes      uint64 // on one store's disk; 0: unlimited
+	ReserveBytes  uint64 // disk space left free
 	AttemptBytes  uint64
 	AttemptRate   uint64
 	ArtefactBytes uint64 // of one attempt
-	TeamBytes     uint64 // on one store's disk; 0: no bound
-	TeamRate      uint64 // through one store; 0: no bound
-	StoreRate     uint64 // through one store, of all teams; 0: no bound
+	TeamBytes     uint64 // on one store's disk; 0: unlimited
+	TeamRate      uint64 // through one store; 0: unlimited
+	StoreRate     uint64 // through one store, of all teams; 0: unlimited
 
 	RepairInterval time.Duration
-	RepairDelay    time.Duration // since a member went away
+	RepairDelay    time.Duration // after a member was lost
 	RepairRate     uint64
 	ScrubInterval  time.Duration
 	ScrubRate      uint64
@@ -39,28 +39,28 @@
 
 	Cert      string // file; empty: no TLS
 	Key       string // file
-	CA        string // file; empty: the system's authorities
+	CA        string // file; empty: the system's certificate authorities
 	Tokens    []Token
 	PeerToken string // file
-	Trace     string // HOST:PORT of a collector of OTLP over HTTP, or file:PATH; empty: no traces
+	Trace     string // HOST:PORT of an OTLP/HTTP collector, or file:PATH; empty: no traces
 }
 
-// Retention is how long outputs are kept. The entry that names most applies: team
-// and class, then class, then team, then neither.
+// Retention is how long outputs are kept. The most specific entry applies: one with
+// team and class, then with class, then with team, then with neither.
 type Retention struct {
 	Team     string
 	Class    string
-	Duration time.Duration // 0: for ever
+	Duration time.Duration // 0: forever
 }
 
-// Token is one that is accepted, by the hash of its secret.
+// Token is an accepted token, identified by the hash of its secret.
 type Token struct {
 	Team string
 	Role string // write, read, all or peer
 	Hash [sha256.Size]byte
 }
 
-// Defaults are the settings of an empty element.
+// Defaults returns the settings of an empty element.
 func Defaults() Outputs {
 	return Outputs{
 		Copies:         2,
@@ -80,7 +80,8 @@
 	}
 }
 
-// RetentionFor returns how long outputs of a team and class are kept; 0: for ever.
+// RetentionFor returns how long outputs of a team and class are kept; 0 means
+// forever.
 func (o *Outputs) RetentionFor(team, class string) time.Duration {
 	var duration time.Duration
 	best := -1
@@ -99,7 +100,7 @@
 	return (r.Team == "" || r.Team == team) && (r.Class == "" || r.Class == class)
 }
 
-// specificity orders entries by what they name: a class counts more than a team.
+// specificity ranks entries by their selectors: a class ranks higher than a team.
 func (r Retention) specificity() int {
 	specificity := 0
 	if r.Class != "" {
--- a/internal/outputs/settings/settings_test.go
+++ b/internal/outputs/settings/settings_test.go
@@ -10,7 +10,7 @@
 
 const testHash = "e3b0c44298fc1c149afbf4c8996fb92427ae41e4649b934ca495991b7852b855"
 
-// parse reads the settings in the content of the element <outputs>.
+// parse reads settings from the content of an element <outputs>.
 func parse(content string) (Outputs, error) {
 	var element XML
 	if err := xml.Unmarshal([]byte("<outputs>"+content+"</outputs>"), &element); err != nil {
--- a/internal/outputs/settings/xml.go
+++ b/internal/outputs/settings/xml.go
@@ -10,8 +10,7 @@
 	"time"
 )
 
-// XML is the element <outputs> as it is written. Absent elements keep their
-// defaults.
+// XML is the element <outputs> as written. Absent elements keep their defaults.
 type XML struct {
 	Page        *string        `xml:"page"`
 	Copies      *float64       `xml:"copies"`
@@ -52,7 +51,7 @@
 	Hash string `xml:"sha256"`
 }
 
-// ElementNames are the elements' paths below <outputs>, by which unknown ones are
+// ElementNames are the paths of all elements below <outputs>. Other elements are
 // refused.
 var ElementNames = []string{
 	"page", "copies", "lease-s", "state-part",
@@ -67,13 +66,13 @@
 	"peer-token-file", "trace",
 }
 
-// FieldError says which element is wrong, by its path below <outputs>, and why.
+// FieldError reports an invalid element, by its path below <outputs>, and the reason.
 type FieldError struct {
 	Field  string
 	Reason string
 }
 
-// Error names the element and the reason.
+// Error returns the element's path and the reason.
 func (e *FieldError) Error() string { return e.Field + ": " + e.Reason }
 
 // Units of the elements, in bytes.
@@ -82,10 +81,10 @@
 	mebibyte = 1 << 20
 )
 
-// maxRetentionDays bounds the element keep/days: a hundred years.
+// maxRetentionDays is the maximum of the element keep/days: a hundred years.
 const maxRetentionDays = 36500
 
-// Read checks an element and returns the settings; a nil one gives the defaults.
+// Read validates an element and returns the settings; a nil element yields the defaults.
 // Every error is a *FieldError.
 func (x *XML) Read() (Outputs, error) {
 	set := Defaults()
@@ -107,7 +106,7 @@
 	return set, nil
 }
 
-// number is an element that holds a number.
+// number is an element with a numeric value.
 type number struct {
 	field    string
 	value    *float64 // nil: absent
@@ -168,7 +167,7 @@
 	return nil
 }
 
-// seconds, hours and bytes set a value from a number in a unit.
+// seconds, hours and bytes return functions that set a value from a number in a unit.
 
 func seconds(to *time.Duration) func(float64) {
 	return func(v float64) { *to = time.Duration(v * float64(time.Second)) }
@@ -209,8 +208,8 @@
 	return err == nil && (u.Scheme == "http" || u.Scheme == "https") && u.Host != ""
 }
 
-// readRetention takes the elements <keep>. The default stays for what none of them
-// covers, unless one names neither team nor class.
+// readRetention reads the elements <keep>. The default retention stays in effect for
+// outputs that none of them covers, unless one names neither team nor class.
 func (o *Outputs) readRetention(list []retentionXML) error {
 	defaults := o.Retention
 	o.Retention = nil
@@ -236,7 +235,7 @@
 	return nil
 }
 
-// readTokens takes the elements <token>.
+// readTokens reads the elements <token>.
 func (o *Outputs) readTokens(list []tokenXML) error {
 	for i, element := range list {
 		field := fmt.Sprintf("token[%d]", i)
@@ -257,8 +256,8 @@
 	return nil
 }
 
-// checkRole checks that a token has a known role, and a team just if its role asks
-// for one.
+// checkRole checks that a token has a known role, and a team if and only if the role
+// requires one.
 func (t *Token) checkRole(field string) error {
 	switch t.Role {
 	case "read", "write":
--- a/internal/outputs/tracing/tracing.go
+++ b/internal/outputs/tracing/tracing.go
@@ -1,6 +1,6 @@
-// Package tracing switches OpenTelemetry traces on where the settings name a place
-// for them. The other packages take their tracers from OpenTelemetry's global
-// provider; until [Start] sets one, these do nothing and cost next to nothing.
+// Package tracing enables OpenTelemetry traces if the settings have a target for them.
+// The other packages use the tracers of OpenTelemetry's global provider, which do
+// nothing at negligible cost until [Start] sets a provider.
 package tracing
 
 import (
@@ -22,21 +22,22 @@
 )
 
 const (
-	// filePrefix begins a target that is a file.
+	// filePrefix is the prefix of targets that are files.
 	filePrefix = "file:"
-	// maxQueuedSpans bounds what waits for a slow collector; more are dropped.
+	// maxQueuedSpans limits the spans queued for a slow collector; further spans are
+	// dropped.
 	maxQueuedSpans = 4096
-	// shutdownTimeout bounds how long a collector that is away delays the end of a
+	// shutdownTimeout limits how long an unreachable collector delays the exit of the
 	// process.
 	shutdownTimeout = 3 * time.Second
 )
 
-// Start switches traces on: to a collector of OTLP over HTTP at HOST:PORT, or as
-// JSON lines to file:PATH. service and instance name this process in them.
+// Start enables traces to an OTLP/HTTP collector at HOST:PORT, or as JSON lines to
+// file:PATH. service and instance identify this process in the traces.
 //
-// The interceptors add a span to each request of connect clients and servers. stop
-// writes what is left; call it once, at the end. An empty target changes nothing:
-// there are no interceptors, and stop does nothing.
+// The interceptors add a span to each request of Connect clients and servers. stop
+// exports the remaining spans and must be called once, before the process exits. With
+// an empty target nothing is enabled: there are no interceptors, and stop does nothing.
 func Start(ctx context.Context, target, service, instance string) (interceptors []connect.Interceptor, stop func(), err error) {
 	if target == "" {
 		return nil, func() {}, nil
@@ -68,8 +69,8 @@
 	return []connect.Interceptor{interceptor}, stop, nil
 }
 
-// newExporter returns an exporter to a target, and what closes its file if it has
-// one.
+// newExporter returns an exporter to a target, and a function that closes its file if
+// it has one.
 func newExporter(ctx context.Context, target string) (exporter trace.SpanExporter, closeFile func(), err error) {
 	path, isFile := strings.CutPrefix(target, filePrefix)
 	if !isFile {
