--- a/internal/outputs/cluster/digest.go
+++ b/internal/outputs/cluster/digest.go
@@ -89,43 +89,43 @@
 
 // Digests returns the digests that a peer requests at the start of a repair round:
 // those of the attempts that this member holds and both should hold.
-func (n *Node) Digests(q *pb.DigestsRequest) *pb.DigestsResponse {
-	set := n.digestsFor(viewFromProto(q.Members), int(q.Copies))
-	buckets := set.buckets[q.Owner]
+func (n *Node) Digests(req *pb.DigestsRequest) *pb.DigestsResponse {
+	set := n.digestsFor(viewFromProto(req.Members), int(req.Copies))
+	buckets := set.buckets[req.Owner]
 	if buckets == nil {
 		buckets = make([]uint64, DigestBuckets)
 	}
-	return &pb.DigestsResponse{Buckets: buckets, Surplus: set.surplus[q.Owner]}
+	return &pb.DigestsResponse{Buckets: buckets, Surplus: set.surplus[req.Owner]}
 }
 
 // Bucket lists attempts for a peer whose digests differ: those in the requested
 // buckets, or with Surplus those that the peer should hold and this member should not.
-func (n *Node) Bucket(q *pb.BucketRequest) *pb.BucketResponse {
-	v := viewFromProto(q.Members)
-	self, owner := v.Index(n.membership.Self.Name), v.Index(q.Owner)
+func (n *Node) Bucket(req *pb.BucketRequest) *pb.BucketResponse {
+	v := viewFromProto(req.Members)
+	self, owner := v.Index(n.membership.Self.Name), v.Index(req.Owner)
 	asked := map[int]bool{}
-	for _, b := range q.Buckets {
+	for _, b := range req.Buckets {
 		asked[int(b)] = true
 	}
-	answer := new(pb.BucketResponse)
+	resp := new(pb.BucketResponse)
 	var keys [][]byte
-	n.store.ForEachAttemptAfter(q.After, func(key []byte, _ uint64, _ *pb.AttemptState) bool {
-		if !q.Surplus && !asked[bucketOf(key)] {
+	n.store.ForEachAttemptAfter(req.After, func(key []byte, _ uint64, _ *pb.AttemptState) bool {
+		if !req.Surplus && !asked[bucketOf(key)] {
 			return true
 		}
-		replicas := v.Replicas(outputs.Route(key), int(q.Copies))
-		if !slices.Contains(replicas, owner) || slices.Contains(replicas, self) == q.Surplus {
+		replicas := v.Replicas(outputs.Route(key), int(req.Copies))
+		if !slices.Contains(replicas, owner) || slices.Contains(replicas, self) == req.Surplus {
 			return true
 		}
 		if len(keys) == maxAttemptsPerMessage {
-			answer.More = true
+			resp.More = true
 			return false
 		}
 		keys = append(keys, key)
 		return true
 	})
-	answer.Held = n.heldLocally(keys)
-	return answer
+	resp.Held = n.heldLocally(keys)
+	return resp
 }
 
 // heldLocally describes the replicas that this member holds of the given attempts.
--- a/internal/outputs/cluster/limits.go
+++ b/internal/outputs/cluster/limits.go
@@ -69,14 +69,14 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.sweep(now)
-	tracked := l.buckets[key]
-	if tracked == nil {
+	bucket := l.buckets[key]
+	if bucket == nil {
 		burst := int(max(2*bytesPerSecond, minBurst))
-		tracked = &tokenBucket{limiter: rate.NewLimiter(rate.Limit(bytesPerSecond), burst)}
-		l.buckets[key] = tracked
+		bucket = &tokenBucket{limiter: rate.NewLimiter(rate.Limit(bytesPerSecond), burst)}
+		l.buckets[key] = bucket
 	}
-	tracked.usedAt = now
-	r := tracked.limiter.ReserveN(now, min(bytes, tracked.limiter.Burst()))
+	bucket.usedAt = now
+	r := bucket.limiter.ReserveN(now, min(bytes, bucket.limiter.Burst()))
 	if delay := r.DelayFrom(now); delay > 0 {
 		r.CancelAt(now)
 		reason := fmt.Sprintf("%s: more than %d KiB a second", subject, bytesPerSecond>>10)
@@ -91,8 +91,8 @@
 		return
 	}
 	l.sweptAt = now
-	for key, tracked := range l.buckets {
-		if now.Sub(tracked.usedAt) > bucketIdleTimeout {
+	for key, bucket := range l.buckets {
+		if now.Sub(bucket.usedAt) > bucketIdleTimeout {
 			delete(l.buckets, key)
 		}
 	}
--- a/internal/outputs/cluster/limits_test.go
+++ b/internal/outputs/cluster/limits_test.go
@@ -11,19 +11,19 @@
 func TestLimiterRefusesOneTeamOverItsRate(t *testing.T) {
 	l := newLimiter(Limits{})
 	now := time.Unix(1e6, 0)
-	taken := 0
+	admitted := 0
 	rnd := rand.New(rand.NewPCG(1, 1))
 	for range 1000 {
 		n := 1 + rnd.IntN(200<<10)
 		if err := l.reserve("t/red", "team red", 1<<20, n, now); err == nil {
-			taken += n
+			admitted += n
 		} else if e := err.(*LimitError); e.RetryAfter <= 0 || e.RetryAfter > time.Second || e.Reason != "team red: more than 1024 KiB a second" {
 			t.Fatal(e.RetryAfter, e)
 		}
 		now = now.Add(10 * time.Millisecond)
 	}
-	if limit := 10<<20 + 2<<20; taken > limit || taken < limit*9/10 {
-		t.Errorf("%d bytes in 10 s at 1 MiB a second", taken)
+	if limit := 10<<20 + 2<<20; admitted > limit || admitted < limit*9/10 {
+		t.Errorf("%d bytes in 10 s at 1 MiB a second", admitted)
 	}
 	if err := l.reserve("t/blue", "team blue", 1<<20, 100, now); err != nil {
 		t.Errorf("another team: %v", err)
--- a/internal/outputs/cluster/list.go
+++ b/internal/outputs/cluster/list.go
@@ -20,35 +20,35 @@
 
 // List lists the attempts of a job on all members, ordered by key. The response names
 // the members that did not answer; attempts that only they hold are missing from it.
-func (n *Node) List(ctx context.Context, team string, q *pb.ListRequest) (*pb.ListResponse, error) {
+func (n *Node) List(ctx context.Context, team string, req *pb.ListRequest) (*pb.ListResponse, error) {
 	ctx, span := tracer.Start(ctx, "list")
 	defer span.End()
-	limit := min(int(cmp.Or(q.Limit, defaultListLimit)), maxListLimit)
+	limit := min(int(cmp.Or(req.Limit, defaultListLimit)), maxListLimit)
 	pages, unreachable := n.scanMembers(ctx, &pb.ScanRequest{
-		Job:   q.Job,
+		Job:   req.Job,
 		Team:  team,
-		Task:  q.Task,
-		Which: q.Which,
+		Task:  req.Task,
+		Which: req.Which,
 		Limit: uint32(limit),
-		After: q.After,
+		After: req.After,
 	})
 	keys, byKey, more := mergePages(pages)
-	if q.Which == pb.Which_WHICH_OPEN && len(keys) > 0 {
+	if req.Which == pb.Which_WHICH_OPEN && len(keys) > 0 {
 		n.addHeldElsewhere(ctx, keys[:min(limit, len(keys))], byKey)
 	}
-	answer := &pb.ListResponse{Unreachable: unreachable}
+	resp := &pb.ListResponse{Unreachable: unreachable}
 	for _, key := range keys[:min(limit, len(keys))] {
 		held := mergeHeld(byKey[key])
-		answer.Next = []byte(key)
-		if q.Which == pb.Which_WHICH_OPEN && held.Summary.Sealed {
+		resp.Next = []byte(key)
+		if req.Which == pb.Which_WHICH_OPEN && held.Summary.Sealed {
 			continue
 		}
-		answer.Attempts = append(answer.Attempts, held.Summary)
+		resp.Attempts = append(resp.Attempts, held.Summary)
 	}
 	if !more && len(keys) <= limit {
-		answer.Next = nil
+		resp.Next = nil
 	}
-	return answer, nil
+	return resp, nil
 }
 
 // scanMembers requests the same page from all members.
@@ -115,12 +115,12 @@
 }
 
 // Scan lists the attempts of a job, or of one of its tasks, that this member holds.
-func (n *Node) Scan(q *pb.ScanRequest) *pb.ScanResponse {
-	limit := int(min(max(q.Limit, 1), maxListLimit))
+func (n *Node) Scan(req *pb.ScanRequest) *pb.ScanResponse {
+	limit := int(min(max(req.Limit, 1), maxListLimit))
 	page := new(pb.ScanResponse)
-	for _, prefix := range n.scanPrefixes(q) {
+	for _, prefix := range n.scanPrefixes(req) {
 		var held []*pb.Held
-		held, page.More = n.store.Scan(prefix, q.After, q.Which, limit-len(page.Held))
+		held, page.More = n.store.Scan(prefix, req.After, req.Which, limit-len(page.Held))
 		page.Held = append(page.Held, held...)
 		if page.More {
 			break
@@ -130,17 +130,17 @@
 }
 
 // scanPrefixes returns the key prefixes of the requested attempts, in order.
-func (n *Node) scanPrefixes(q *pb.ScanRequest) [][]byte {
-	if q.Task == nil {
-		return [][]byte{outputs.JobPrefix(q.Job, q.Team)}
+func (n *Node) scanPrefixes(req *pb.ScanRequest) [][]byte {
+	if req.Task == nil {
+		return [][]byte{outputs.JobPrefix(req.Job, req.Team)}
 	}
-	teams := []string{q.Team}
-	if q.Team == "" {
-		teams = n.store.Teams(q.Job)
+	teams := []string{req.Team}
+	if req.Team == "" {
+		teams = n.store.Teams(req.Job)
 	}
 	var prefixes [][]byte
 	for _, team := range teams {
-		prefixes = append(prefixes, outputs.TaskPrefix(q.Job, team, *q.Task))
+		prefixes = append(prefixes, outputs.TaskPrefix(req.Job, team, *req.Task))
 	}
 	return prefixes
 }
--- a/internal/outputs/cluster/lookup.go
+++ b/internal/outputs/cluster/lookup.go
@@ -152,17 +152,17 @@
 	for _, r := range list {
 		held = append(held, r.held)
 	}
-	answer := &pb.DescribeResponse{Summary: mergeHeld(held).Summary}
+	resp := &pb.DescribeResponse{Summary: mergeHeld(held).Summary}
 	for _, r := range list {
 		if !r.held.Summary.Sealed {
 			continue
 		}
 		if seal, _, err := n.sealFrom(ctx, r.member, key); err == nil && seal != nil {
-			answer.Seal = seal
+			resp.Seal = seal
 			break
 		}
 	}
-	return answer, nil
+	return resp, nil
 }
 
 // notFound returns the error for an item that no responding member holds: that it does
@@ -180,11 +180,11 @@
 		seal, meta := n.store.Seal(key)
 		return seal, meta, nil
 	}
-	answer, err := callPeer(ctx, n, m, Peer.GetSeal, &pb.GetSealRequest{Key: key})
+	resp, err := callPeer(ctx, n, m, Peer.GetSeal, &pb.GetSealRequest{Key: key})
 	if err != nil {
 		return nil, nil, err
 	}
-	return answer.Seal, answer.Meta, nil
+	return resp.Seal, resp.Meta, nil
 }
 
 // Chunk returns the data of a chunk of a team's artefacts from any member that has
@@ -220,11 +220,11 @@
 	if !n.health.isAvailable(m) {
 		return nil, connect.NewError(connect.CodeUnavailable, ErrUnavailable)
 	}
-	answer, err := callPeer(ctx, n, m, Peer.GetChunk, &pb.GetChunkRequest{Team: team, Sha256: hash})
+	resp, err := callPeer(ctx, n, m, Peer.GetChunk, &pb.GetChunkRequest{Team: team, Sha256: hash})
 	if err != nil {
 		return nil, err
 	}
-	return answer.Chunk, nil
+	return resp.Chunk, nil
 }
 
 // LocalStatus returns the storage usage of this member.
@@ -236,7 +236,7 @@
 // Status describes all members as seen by this one.
 func (n *Node) Status(ctx context.Context) *pb.MembersResponse {
 	v := n.membership.View()
-	answer := &pb.MembersResponse{Members: v.toProto(), Self: n.membership.Self.Name, StateKnown: n.membership.IsCurrent()}
+	resp := &pb.MembersResponse{Members: v.toProto(), Self: n.membership.Self.Name, StateKnown: n.membership.IsCurrent()}
 	var mu sync.Mutex
 	n.forEachMember(ctx, func(ctx context.Context, m Member, p Peer) error {
 		status := n.LocalStatus()
@@ -249,9 +249,9 @@
 		}
 		mu.Lock()
 		defer mu.Unlock()
-		x := answer.Members[v.Index(m.Name)]
+		x := resp.Members[v.Index(m.Name)]
 		x.Reachable, x.Full, x.Attempts, x.DiskBytes = true, status.Full, status.Attempts, status.DiskBytes
 		return nil
 	})
-	return answer
+	return resp
 }
--- a/internal/outputs/cluster/node.go
+++ b/internal/outputs/cluster/node.go
@@ -146,15 +146,15 @@
 
 // callPeer sends one unary request with [Node.call].
 func callPeer[Q, R any](ctx context.Context, n *Node, m Member, method peerMethod[Q, R], request *Q) (*R, error) {
-	var answer *R
+	var resp *R
 	err := n.call(ctx, m, func(ctx context.Context, p Peer) error {
 		r, err := method(p, ctx, connect.NewRequest(request))
 		if err == nil {
-			answer = r.Msg
+			resp = r.Msg
 		}
 		return err
 	})
-	return answer, err
+	return resp, err
 }
 
 // maintenanceLoop periodically drops expired and over-replicated attempts, removes
--- a/internal/outputs/cluster/overreplicated.go
+++ b/internal/outputs/cluster/overreplicated.go
@@ -110,11 +110,11 @@
 		if len(request.Held) == 0 {
 			continue
 		}
-		answer, err := callPeer(ctx, n, m, Peer.Confirm, request)
+		resp, err := callPeer(ctx, n, m, Peer.Confirm, request)
 		if err != nil {
 			continue // unconfirmed attempts are not dropped
 		}
-		for j, confirmed := range answer.Held {
+		for j, confirmed := range resp.Held {
 			if confirmed && j < len(request.Held) {
 				confirmations[string(request.Held[j].Key)]++
 			}
@@ -126,27 +126,27 @@
 // Confirm handles a request of a member that wants to drop its replicas. It confirms
 // each replica that this member should hold and that covers the other's, and pins it
 // for Options.PinDuration.
-func (n *Node) Confirm(q *pb.ConfirmRequest) *pb.ConfirmResponse {
+func (n *Node) Confirm(req *pb.ConfirmRequest) *pb.ConfirmResponse {
 	v := n.membership.View()
 	self := v.Index(n.membership.Self.Name)
 	now := time.Now()
-	answer := &pb.ConfirmResponse{Held: make([]bool, len(q.Held))}
+	resp := &pb.ConfirmResponse{Held: make([]bool, len(req.Held))}
 	n.pinMu.Lock()
 	defer n.pinMu.Unlock()
-	for i, remote := range q.Held {
+	for i, remote := range req.Held {
 		replicas := v.Replicas(outputs.Route(remote.Key), n.options.ReplicationFactor)
 		if !slices.Contains(replicas, self) || !covers(n.store.Held(remote.Key), remote) {
 			continue
 		}
 		n.pins[string(remote.Key)] = now.Add(n.options.PinDuration)
-		answer.Held[i] = true
+		resp.Held[i] = true
 	}
 	for key, until := range n.pins {
 		if now.After(until) {
 			delete(n.pins, key)
 		}
 	}
-	return answer
+	return resp
 }
 
 // covers reports whether the local replica has all the data of a remote one.
--- a/internal/outputs/cluster/overreplicated_test.go
+++ b/internal/outputs/cluster/overreplicated_test.go
@@ -49,11 +49,11 @@
 type confirmingPeer struct{ Peer }
 
 func (confirmingPeer) Confirm(_ context.Context, r *connect.Request[pb.ConfirmRequest]) (*connect.Response[pb.ConfirmResponse], error) {
-	answer := &pb.ConfirmResponse{Held: make([]bool, len(r.Msg.Held))}
-	for i := range answer.Held {
-		answer.Held[i] = true
+	resp := &pb.ConfirmResponse{Held: make([]bool, len(r.Msg.Held))}
+	for i := range resp.Held {
+		resp.Held[i] = true
 	}
-	return connect.NewResponse(answer), nil
+	return connect.NewResponse(resp), nil
 }
 
 // keyPlacedOn returns the key of an attempt whose only replica is placed on a member.
@@ -93,7 +93,7 @@
 		t.Fatal(err)
 	}
 	request := &pb.ConfirmRequest{Held: []*pb.Held{{Key: key, Summary: &pb.Summary{}}}}
-	if answer := n.Confirm(request); !answer.Held[0] {
+	if resp := n.Confirm(request); !resp.Held[0] {
 		t.Fatal("a complete replica was not confirmed")
 	}
 	m.mu.Lock()
@@ -102,7 +102,7 @@
 	if n.dropOverReplicated(t.Context()); store.Held(key) == nil {
 		t.Fatal("dropped a replica that was just confirmed to another member")
 	}
-	if answer := n.Confirm(request); answer.Held[0] {
+	if resp := n.Confirm(request); resp.Held[0] {
 		t.Error("confirmed a replica that belongs elsewhere")
 	}
 	time.Sleep(500 * time.Millisecond)
--- a/internal/outputs/cluster/read.go
+++ b/internal/outputs/cluster/read.go
@@ -48,28 +48,28 @@
 // Read passes an attempt's records to emit, in order and each once. It returns at the
 // end of the available records, or with Follow at the seal. Records that no member can
 // deliver are reported as a hole.
-func (n *Node) Read(ctx context.Context, q *pb.ReadRequest, emit func(*pb.ReadResponse) error) error {
+func (n *Node) Read(ctx context.Context, req *pb.ReadRequest, emit func(*pb.ReadResponse) error) error {
 	ctx, span := tracer.Start(ctx, "fetch")
 	defer span.End()
 	r := &attemptReader{
 		node:     n,
-		key:      outputs.Key(q.Attempt),
-		request:  q,
+		key:      outputs.Key(req.Attempt),
+		request:  req,
 		emit:     emit,
-		next:     q.From,
+		next:     req.From,
 		failedAt: map[string]time.Time{},
 	}
-	if len(q.Streams) > 0 {
+	if len(req.Streams) > 0 {
 		r.streams = map[pb.Stream]bool{pb.Stream_STREAM_GAP: true}
-		for _, s := range q.Streams {
+		for _, s := range req.Streams {
 			r.streams[s] = true
 		}
 	}
-	if q.TailLines > 0 {
+	if req.TailLines > 0 {
 		if err := r.seekTail(ctx); err != nil {
 			return err
 		}
-	} else if q.From == 0 && q.SinceNs == 0 {
+	} else if req.From == 0 && req.SinceNs == 0 {
 		r.digest = outputs.NewDigest()
 	}
 	return r.run(ctx)
--- a/internal/outputs/cluster/readreplica.go
+++ b/internal/outputs/cluster/readreplica.go
@@ -169,12 +169,12 @@
 
 // Blocks streams this member's blocks of an attempt to a peer. With Follow it continues
 // until the attempt is sealed, and sends empty messages as heartbeats.
-func (n *Node) Blocks(ctx context.Context, q *pb.BlocksRequest, send func(*pb.BlocksResponse) error) error {
-	next := q.From
+func (n *Node) Blocks(ctx context.Context, req *pb.BlocksRequest, send func(*pb.BlocksResponse) error) error {
+	next := req.From
 	for {
-		changed := n.store.Watch(q.Key) // before the read, so that no change is missed
-		blocks, after, err := n.store.Blocks(q.Key, next, q.To, q.SinceNs, readBatchBytes)
-		if err != nil && !(errors.Is(err, disk.ErrNotFound) && q.Follow) {
+		changed := n.store.Watch(req.Key) // before the read, so that no change is missed
+		blocks, after, err := n.store.Blocks(req.Key, next, req.To, req.SinceNs, readBatchBytes)
+		if err != nil && !(errors.Is(err, disk.ErrNotFound) && req.Follow) {
 			return err
 		}
 		if len(blocks) > 0 {
@@ -184,11 +184,11 @@
 			}
 			continue
 		}
-		held := n.store.Held(q.Key)
+		held := n.store.Held(req.Key)
 		if held != nil && held.Summary.Sealed {
 			return send(&pb.BlocksResponse{Sealed: true, Records: held.Summary.Records})
 		}
-		if !q.Follow {
+		if !req.Follow {
 			return nil
 		}
 		select {
--- a/internal/outputs/cluster/readtail.go
+++ b/internal/outputs/cluster/readtail.go
@@ -51,7 +51,7 @@
 // readTail reads the records starting at the given one.
 func (r *attemptReader) readTail(ctx context.Context, from uint64) ([]*pb.Record, error) {
 	var tail []*pb.Record
-	probe := &attemptReader{
+	tailReader := &attemptReader{
 		node:     r.node,
 		key:      r.key,
 		request:  &pb.ReadRequest{From: from},
@@ -63,7 +63,7 @@
 			return nil
 		},
 	}
-	err := probe.run(ctx)
+	err := tailReader.run(ctx)
 	return tail, err
 }
 
--- a/internal/outputs/cluster/repair.go
+++ b/internal/outputs/cluster/repair.go
@@ -84,8 +84,8 @@
 		if n.isSelf(m) || !n.health.isAvailable(m) || ctx.Err() != nil {
 			continue
 		}
-		count, err := n.repairFrom(ctx, v, m)
-		total.add(count)
+		result, err := n.repairFrom(ctx, v, m)
+		total.add(result)
 		if err != nil && ctx.Err() == nil {
 			slog.Warn("anti-entropy comparison failed", "member", m.Name, "err", err)
 		}
@@ -107,14 +107,14 @@
 	local := n.digestsFor(v, n.options.ReplicationFactor).buckets[m.Name]
 	var total repairResult
 	if differing := differingBuckets(local, remote.Buckets); len(differing) > 0 {
-		q := &pb.BucketRequest{Owner: owner, Members: members, Copies: factor, Buckets: differing}
-		total, err = n.pullMissing(ctx, m, q)
+		req := &pb.BucketRequest{Owner: owner, Members: members, Copies: factor, Buckets: differing}
+		total, err = n.pullMissing(ctx, m, req)
 	}
 	if err == nil && remote.Surplus > 0 {
-		var count repairResult
-		q := &pb.BucketRequest{Owner: owner, Members: members, Copies: factor, Surplus: true}
-		count, err = n.pullMissing(ctx, m, q)
-		total.add(count)
+		var result repairResult
+		req := &pb.BucketRequest{Owner: owner, Members: members, Copies: factor, Surplus: true}
+		result, err = n.pullMissing(ctx, m, req)
+		total.add(result)
 	}
 	if total.repaired > 0 {
 		slog.Info("attempts repaired", "from", m.Name, "attempts", total.repaired, "missing", total.missing)
@@ -136,20 +136,20 @@
 
 // pullMissing lists attempts that a peer holds, page by page, and copies the data that
 // this member lacks.
-func (n *Node) pullMissing(ctx context.Context, m Member, q *pb.BucketRequest) (repairResult, error) {
+func (n *Node) pullMissing(ctx context.Context, m Member, req *pb.BucketRequest) (repairResult, error) {
 	var total repairResult
 	for {
-		page, err := callPeer(ctx, n, m, Peer.Bucket, q)
+		page, err := callPeer(ctx, n, m, Peer.Bucket, req)
 		if err != nil {
 			return total, err
 		}
-		count, err := n.pullPage(ctx, m, page.Held)
-		total.add(count)
+		result, err := n.pullPage(ctx, m, page.Held)
+		total.add(result)
 		if err != nil || !page.More || len(page.Held) == 0 {
 			return total, err
 		}
-		q = proto.CloneOf(q)
-		q.After = page.Held[len(page.Held)-1].Key
+		req = proto.CloneOf(req)
+		req.After = page.Held[len(page.Held)-1].Key
 	}
 }
 
@@ -159,7 +159,7 @@
 	var (
 		mu       sync.Mutex
 		wg       sync.WaitGroup
-		count    repairResult
+		result   repairResult
 		firstErr error
 	)
 	slots := make(chan struct{}, pullConcurrency)
@@ -168,21 +168,21 @@
 			continue
 		}
 		slots <- struct{}{}
-		count.missing++
+		result.missing++
 		wg.Go(func() {
 			defer func() { <-slots }()
 			err := n.pullAttempt(ctx, m, held)
 			mu.Lock()
 			defer mu.Unlock()
 			if err == nil {
-				count.repaired++
+				result.repaired++
 			} else if firstErr == nil {
 				firstErr = err
 			}
 		})
 	}
 	wg.Wait()
-	return count, firstErr
+	return result, firstErr
 }
 
 // needsRepair reports whether this member lacks data of a peer's replica.
--- a/internal/outputs/cluster/underreplicated.go
+++ b/internal/outputs/cluster/underreplicated.go
@@ -56,9 +56,9 @@
 	if !n.health.isAvailable(m) {
 		return nil
 	}
-	answer, err := callPeer(ctx, n, m, Peer.Held, &pb.HeldRequest{Keys: keys})
+	resp, err := callPeer(ctx, n, m, Peer.Held, &pb.HeldRequest{Keys: keys})
 	if err != nil {
 		return nil
 	}
-	return answer.Held
+	return resp.Held
 }
--- a/internal/outputs/cluster/write.go
+++ b/internal/outputs/cluster/write.go
@@ -96,11 +96,11 @@
 	if !n.health.isAvailable(m) {
 		return nil, ErrUnavailable
 	}
-	answer, err := callPeer(ctx, n, m, Peer.HasChunks, &pb.HasChunksRequest{Team: team, Sha256: hashes})
+	resp, err := callPeer(ctx, n, m, Peer.HasChunks, &pb.HasChunksRequest{Team: team, Sha256: hashes})
 	if err != nil {
 		return nil, err
 	}
-	return answer.Missing, nil
+	return resp.Missing, nil
 }
 
 // putResult is the outcome of a write to one member.
--- a/internal/outputs/daemon/daemon.go
+++ b/internal/outputs/daemon/daemon.go
@@ -187,16 +187,16 @@
 
 // serve starts to serve requests on a listener.
 func (d *Daemon) serve(ln net.Listener, c *Config, creds *credentials, interceptors []connect.Interceptor) {
-	bounds := c.ConcurrencyLimits
-	if bounds == (serve.ConcurrencyLimits{}) {
-		bounds = serve.DefaultConcurrencyLimits()
+	limits := c.ConcurrencyLimits
+	if limits == (serve.ConcurrencyLimits{}) {
+		limits = serve.DefaultConcurrencyLimits()
 	}
 	var options []connect.HandlerOption
 	if len(interceptors) > 0 {
 		options = append(options, connect.WithInterceptors(interceptors...))
 	}
-	handler := serve.New(d.Node, creds.tokens, bounds, options...)
-	d.server = serve.Serve(ln, handler, creds.certificate, bounds)
+	handler := serve.New(d.Node, creds.tokens, limits, options...)
+	d.server = serve.Serve(ln, handler, creds.certificate, limits)
 }
 
 // runNode starts the node's background work.
--- a/internal/outputs/daemon/limits_test.go
+++ b/internal/outputs/daemon/limits_test.go
@@ -22,8 +22,8 @@
 
 // appendUntilRefused appends up to maxRecords random records and returns the first
 // error.
-func (w *testWriter) appendUntilRefused(d *Daemon, randomByte func() byte, most int) error {
-	for range most {
+func (w *testWriter) appendUntilRefused(d *Daemon, randomByte func() byte, maxRecords int) error {
+	for range maxRecords {
 		if err := w.appendRandom(d, randomByte); err != nil {
 			return err
 		}
--- a/internal/outputs/daemon/partition_test.go
+++ b/internal/outputs/daemon/partition_test.go
@@ -93,13 +93,13 @@
 	c.waitFor("the store to join", func() bool { return members.Problem() == "" })
 	// A second store with the same name but another data directory can't join.
 	config.Dir, config.KeyValueStore = filepath.Join(c.dir, "other"), c.newStateClient()
-	twin, err := Start(config)
+	duplicate, err := Start(config)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer twin.Close()
+	defer duplicate.Close()
 	c.waitFor("the second store to be refused", func() bool {
-		return strings.Contains(twin.Node.Membership().Problem(), "another store has this name")
+		return strings.Contains(duplicate.Node.Membership().Problem(), "another store has this name")
 	})
 }
 
--- a/internal/outputs/daemon/replication_test.go
+++ b/internal/outputs/daemon/replication_test.go
@@ -117,14 +117,14 @@
 func TestWritersOfOneTaskAreKeptApart(t *testing.T) {
 	c := newTestCluster(t, nil)
 	c.startStores("a", "b")
-	first, twin, second := c.newWriter(0, 1, "a"), c.newWriter(0, 1, "b"), c.newWriter(0, 2, "c")
-	twin.attempt.Machine = "host-2"
+	first, concurrent, second := c.newWriter(0, 1, "a"), c.newWriter(0, 1, "b"), c.newWriter(0, 2, "c")
+	concurrent.attempt.Machine = "host-2"
 	s0, s1 := c.stores["s0"], c.stores["s1"]
-	if err := errors.Join(first.append(s0, 3), twin.append(s1, 2), second.append(s1, 4), second.seal(s0, 0),
-		first.append(s1, 3), twin.append(s0, 5), twin.seal(s0, 1), first.append(s0, 1), first.seal(s1, 1)); err != nil {
+	if err := errors.Join(first.append(s0, 3), concurrent.append(s1, 2), second.append(s1, 4), second.seal(s0, 0),
+		first.append(s1, 3), concurrent.append(s0, 5), concurrent.seal(s0, 1), first.append(s0, 1), first.seal(s1, 1)); err != nil {
 		t.Fatal(err)
 	}
-	for _, w := range []*testWriter{first, twin, second} {
+	for _, w := range []*testWriter{first, concurrent, second} {
 		if err := errors.Join(w.read(s0), w.read(s1)); err != nil || w.completeCopies() != 2 {
 			t.Errorf("%d copies, want 2; error %v", w.completeCopies(), err)
 		}
--- a/internal/outputs/daemon/retention_test.go
+++ b/internal/outputs/daemon/retention_test.go
@@ -39,7 +39,7 @@
 		t.Fatalf("%d copies, want 2", n)
 	}
 	c.restartWithShortRetention()
-	areDeleted := func() bool {
+	allDeleted := func() bool {
 		for _, d := range c.stores {
 			if d.Node.Store().Held(sealed.key()) != nil || d.Node.Store().Held(open.key()) != nil {
 				return false
@@ -47,10 +47,10 @@
 		}
 		return true
 	}
-	c.waitFor("the outputs to be deleted", areDeleted)
+	c.waitFor("the outputs to be deleted", allDeleted)
 	for range 10 {
 		time.Sleep(50 * time.Millisecond)
-		if !areDeleted() {
+		if !allDeleted() {
 			t.Fatal("deleted outputs came back")
 		}
 	}
--- a/internal/outputs/serve/download.go
+++ b/internal/outputs/serve/download.go
@@ -26,7 +26,7 @@
 	if err != nil {
 		return err
 	}
-	q, err := parseReadRequest(c, s.Attempt)
+	req, err := parseReadRequest(c, s.Attempt)
 	if err != nil {
 		return err
 	}
@@ -45,7 +45,7 @@
 		w.Header().Set("Reedtrack-Attempt", outputs.Name(s.Attempt))
 		w.WriteHeader(http.StatusOK)
 	}
-	err = p.reader.read(c.Request().Context(), q, func(m *pb.ReadResponse) error {
+	err = p.reader.read(c.Request().Context(), req, func(m *pb.ReadResponse) error {
 		begin()
 		if _, err := w.Write(appendLog(nil, m, raw)); err != nil {
 			return err
@@ -60,22 +60,22 @@
 }
 
 func parseReadRequest(c echo.Context, a *pb.Attempt) (*pb.ReadRequest, error) {
-	q := &pb.ReadRequest{Attempt: a, Follow: queryFlag(c, "follow")}
+	req := &pb.ReadRequest{Attempt: a, Follow: queryFlag(c, "follow")}
 	if name := c.QueryParam("stream"); name != "" {
 		stream, ok := streamNames[name]
 		if !ok {
 			return nil, invalidField("stream", "must be stdout or stderr")
 		}
-		q.Streams = []pb.Stream{stream}
+		req.Streams = []pb.Stream{stream}
 	}
 	if tail := c.QueryParam("tail"); tail != "" {
 		lines, err := strconv.ParseUint(tail, 10, 31)
 		if err != nil {
 			return nil, invalidField("tail", "must be a number of lines")
 		}
-		q.TailLines = lines
+		req.TailLines = lines
 	}
-	return q, nil
+	return req, nil
 }
 
 // appendLog appends the log text of a read message. In raw mode this is only the task's
@@ -113,9 +113,9 @@
 		}
 	}
 	offset, partial := parseRange(c.Request().Header.Get("Range"))
-	q := &pb.FetchRequest{Attempt: s.Attempt, Path: name, Offset: offset}
+	req := &pb.FetchRequest{Attempt: s.Attempt, Path: name, Offset: offset}
 	w := c.Response()
-	return p.reader.fetch(c.Request().Context(), q, func(m *pb.FetchResponse) error {
+	return p.reader.fetch(c.Request().Context(), req, func(m *pb.FetchResponse) error {
 		if m.Artefact != nil {
 			setArtefactHeader(w.Header(), m.Artefact, name, offset, partial)
 			status := http.StatusOK
--- a/internal/outputs/serve/findattempt.go
+++ b/internal/outputs/serve/findattempt.go
@@ -44,9 +44,9 @@
 		}
 	}
 	var newest *pb.Summary
-	q := &pb.ListRequest{Job: c.Param("job"), Task: proto.Uint32(uint32(task)), Limit: findPageSize}
+	req := &pb.ListRequest{Job: c.Param("job"), Task: proto.Uint32(uint32(task)), Limit: findPageSize}
 	for {
-		page, err := p.reader.list(c.Request().Context(), q)
+		page, err := p.reader.list(c.Request().Context(), req)
 		if err != nil {
 			return nil, err
 		}
@@ -56,7 +56,7 @@
 			}
 		}
 		if len(page.Next) > 0 {
-			q.After = page.Next
+			req.After = page.Next
 			continue
 		}
 		if newest == nil && len(page.Unreachable) > 0 {
--- a/internal/outputs/serve/metrics.go
+++ b/internal/outputs/serve/metrics.go
@@ -36,9 +36,9 @@
 func (metricsInterceptor) WrapUnary(next connect.UnaryFunc) connect.UnaryFunc {
 	return func(ctx context.Context, r connect.AnyRequest) (connect.AnyResponse, error) {
 		start := time.Now()
-		answer, err := next(ctx, r)
+		resp, err := next(ctx, r)
 		observeRequest(r.Spec().Procedure, start, err)
-		return answer, err
+		return resp, err
 	}
 }
 
--- a/internal/outputs/serve/pages.go
+++ b/internal/outputs/serve/pages.go
@@ -104,11 +104,11 @@
 
 // job lists a job's attempts.
 func (p pages) job(c echo.Context) error {
-	q, err := parseListRequest(c)
+	req, err := parseListRequest(c)
 	if err != nil {
 		return err
 	}
-	list, err := p.reader.list(c.Request().Context(), q)
+	list, err := p.reader.list(c.Request().Context(), req)
 	if err != nil {
 		return err
 	}
@@ -116,7 +116,7 @@
 		return writeJSON(c, list)
 	}
 	return render(c, jobPage, jobPageData{
-		Job:         q.Job,
+		Job:         req.Job,
 		Which:       c.QueryParam("which"),
 		Attempts:    list.Attempts,
 		Unreachable: list.Unreachable,
@@ -129,29 +129,29 @@
 	if !ok {
 		return nil, invalidField("which", "must be all, failed or open")
 	}
-	q := &pb.ListRequest{Job: c.Param("job"), Which: which}
+	req := &pb.ListRequest{Job: c.Param("job"), Which: which}
 	if task := c.QueryParam("task"); task != "" {
 		n, err := strconv.ParseUint(task, 10, 32)
 		if err != nil {
 			return nil, invalidField("task", "must be a number")
 		}
-		q.Task = proto.Uint32(uint32(n))
+		req.Task = proto.Uint32(uint32(n))
 	}
 	if limit := c.QueryParam("limit"); limit != "" {
 		n, err := strconv.ParseUint(limit, 10, 16)
 		if err != nil {
 			return nil, invalidField("limit", "must be a number")
 		}
-		q.Limit = uint32(n)
+		req.Limit = uint32(n)
 	}
 	if after := c.QueryParam("after"); after != "" {
 		key, err := hex.DecodeString(after)
 		if err != nil {
 			return nil, invalidField("after", "must be what the page before says")
 		}
-		q.After = key
+		req.After = key
 	}
-	return q, nil
+	return req, nil
 }
 
 // artefacts lists an attempt's artefacts.
--- a/internal/outputs/serve/peer.go
+++ b/internal/outputs/serve/peer.go
@@ -16,15 +16,15 @@
 type peerService struct{ node *cluster.Node }
 
 // handlePeer handles a unary request if the caller is a peer.
-func handlePeer[T any](ctx context.Context, answer func() (*T, error)) (*connect.Response[T], error) {
+func handlePeer[T any](ctx context.Context, handle func() (*T, error)) (*connect.Response[T], error) {
 	if err := callerOf(ctx).AuthorizePeer(); err != nil {
 		return nil, permissionDenied(err)
 	}
-	out, err := answer()
+	resp, err := handle()
 	if err != nil {
 		return nil, connectError(err)
 	}
-	return connect.NewResponse(out), nil
+	return connect.NewResponse(resp), nil
 }
 
 // Put stores entries.
@@ -42,13 +42,13 @@
 // Held describes the replicas that this member holds of the given attempts.
 func (p *peerService) Held(ctx context.Context, r *connect.Request[pb.HeldRequest]) (*connect.Response[pb.HeldResponse], error) {
 	return handlePeer(ctx, func() (*pb.HeldResponse, error) {
-		answer := new(pb.HeldResponse)
+		resp := new(pb.HeldResponse)
 		for _, key := range r.Msg.Keys {
 			if held := p.node.Store().Held(key); held != nil {
-				answer.Held = append(answer.Held, held)
+				resp.Held = append(resp.Held, held)
 			}
 		}
-		return answer, nil
+		return resp, nil
 	})
 }
 
--- a/internal/outputs/serve/reader.go
+++ b/internal/outputs/serve/reader.go
@@ -39,8 +39,8 @@
 	return response(s.list(ctx, r.Msg))
 }
 
-func (s *readerService) list(ctx context.Context, q *pb.ListRequest) (*pb.ListResponse, error) {
-	if !protocol.ValidJobID(q.Job) {
+func (s *readerService) list(ctx context.Context, req *pb.ListRequest) (*pb.ListResponse, error) {
+	if !protocol.ValidJobID(req.Job) {
 		return nil, invalidField("job", "must look like wk-000412")
 	}
 	caller := callerOf(ctx)
@@ -52,8 +52,8 @@
 		return nil, err
 	}
 	defer release()
-	answer, err := s.node.List(ctx, caller.TeamScope(), q)
-	return answer, connectError(err)
+	resp, err := s.node.List(ctx, caller.TeamScope(), req)
+	return resp, connectError(err)
 }
 
 // Describe returns an attempt's summary and seal.
@@ -70,16 +70,16 @@
 		return nil, err
 	}
 	defer release()
-	answer, err := s.node.Describe(ctx, a)
-	return answer, connectError(err)
+	resp, err := s.node.Describe(ctx, a)
+	return resp, connectError(err)
 }
 
 // response wraps the result of an RPC. Its error must be a Connect error already.
-func response[T any](answer *T, err error) (*connect.Response[T], error) {
+func response[T any](resp *T, err error) (*connect.Response[T], error) {
 	if err != nil {
 		return nil, err
 	}
-	return connect.NewResponse(answer), nil
+	return connect.NewResponse(resp), nil
 }
 
 // Read streams an attempt's records.
@@ -87,15 +87,15 @@
 	return s.read(ctx, r.Msg, stream.Send)
 }
 
-func (s *readerService) read(ctx context.Context, q *pb.ReadRequest, emit func(*pb.ReadResponse) error) error {
-	if err := s.authorize(ctx, q.Attempt); err != nil {
+func (s *readerService) read(ctx context.Context, req *pb.ReadRequest, emit func(*pb.ReadResponse) error) error {
+	if err := s.authorize(ctx, req.Attempt); err != nil {
 		return err
 	}
-	if q.TailLines > math.MaxInt32 {
+	if req.TailLines > math.MaxInt32 {
 		return invalidField("tail_lines", "too many")
 	}
 	slots := s.slots
-	if q.Follow {
+	if req.Follow {
 		slots = s.followSlots
 	}
 	release, err := acquireSlot(slots, "readers")
@@ -103,7 +103,7 @@
 		return err
 	}
 	defer release()
-	return connectError(s.node.Read(ctx, q, emit))
+	return connectError(s.node.Read(ctx, req, emit))
 }
 
 // Fetch streams an artefact, starting at an offset.
@@ -112,16 +112,16 @@
 }
 
 // fetch sends the description of an artefact and then its data, chunk by chunk.
-func (s *readerService) fetch(ctx context.Context, q *pb.FetchRequest, send func(*pb.FetchResponse) error) error {
-	d, err := s.describe(ctx, q.Attempt)
+func (s *readerService) fetch(ctx context.Context, req *pb.FetchRequest, send func(*pb.FetchResponse) error) error {
+	d, err := s.describe(ctx, req.Attempt)
 	if err != nil {
 		return err
 	}
-	artefact := findArtefact(d.Seal, q.Path)
+	artefact := findArtefact(d.Seal, req.Path)
 	if artefact == nil {
-		return connect.NewError(connect.CodeNotFound, fmt.Errorf("%s has no artefact %s", outputs.Name(q.Attempt), outputs.PathName(q.Path)))
+		return connect.NewError(connect.CodeNotFound, fmt.Errorf("%s has no artefact %s", outputs.Name(req.Attempt), outputs.PathName(req.Path)))
 	}
-	if q.Offset > artefact.Size {
+	if req.Offset > artefact.Size {
 		return invalidField("offset", fmt.Sprintf("the artefact has %d bytes", artefact.Size))
 	}
 	release, err := acquireSlot(s.slots, "readers")
@@ -132,8 +132,8 @@
 	if err := send(&pb.FetchResponse{Artefact: artefact}); err != nil {
 		return err
 	}
-	for at := q.Offset; at < artefact.Size; {
-		data, err := s.chunkData(ctx, q.Attempt, artefact, at)
+	for at := req.Offset; at < artefact.Size; {
+		data, err := s.chunkData(ctx, req.Attempt, artefact, at)
 		if err != nil {
 			return err
 		}
--- a/internal/outputs/serve/server.go
+++ b/internal/outputs/serve/server.go
@@ -129,10 +129,10 @@
 
 // Serve starts a server for a handler on a listener, of which it takes ownership.
 // Without a certificate it serves plain HTTP.
-func Serve(ln net.Listener, h http.Handler, keys *access.CertificateReloader, limits ConcurrencyLimits) *Server {
+func Serve(ln net.Listener, h http.Handler, certificate *access.CertificateReloader, limits ConcurrencyLimits) *Server {
 	ln = transport.LimitListener(ln, limits.Connections)
-	if keys != nil {
-		ln = tls.NewListener(ln, keys.ServerConfig())
+	if certificate != nil {
+		ln = tls.NewListener(ln, certificate.ServerConfig())
 	}
 	s := &Server{http: &http.Server{
 		Handler:           h,
--- a/internal/outputs/serve/writer.go
+++ b/internal/outputs/serve/writer.go
@@ -43,95 +43,95 @@
 		return nil, err
 	}
 	defer release()
-	answer, err := write()
+	resp, err := write()
 	if err != nil {
 		return nil, connectError(err)
 	}
-	return connect.NewResponse(answer), nil
+	return connect.NewResponse(resp), nil
 }
 
 // Open records that an attempt has started. The response holds the limits and the
 // members' addresses in order of preference.
 func (w *writerService) Open(ctx context.Context, r *connect.Request[pb.OpenRequest]) (*connect.Response[pb.OpenResponse], error) {
-	q := r.Msg
-	if err := w.authorize(ctx, q.Attempt, q.Secret, q.Meta); err != nil {
+	req := r.Msg
+	if err := w.authorize(ctx, req.Attempt, req.Secret, req.Meta); err != nil {
 		return nil, err
 	}
 	return handleWrite(w, func() (*pb.OpenResponse, error) {
-		if _, err := w.node.Open(ctx, q.Attempt, q.Meta); err != nil {
+		if _, err := w.node.Open(ctx, req.Attempt, req.Meta); err != nil {
 			return nil, err
 		}
 		limits := w.node.Limits()
-		answer := &pb.OpenResponse{
+		resp := &pb.OpenResponse{
 			AttemptBytes:     limits.AttemptBytes,
 			AttemptBytesPerS: limits.AttemptRate,
 			ArtefactBytes:    limits.ArtefactBytes,
 			Copies:           uint32(w.node.ReplicationFactor()),
 		}
 		view := w.node.Membership().View()
-		for _, i := range view.PreferenceList(outputs.Route(outputs.Key(q.Attempt))) {
-			answer.Addresses = append(answer.Addresses, view.Members[i].Address)
+		for _, i := range view.PreferenceList(outputs.Route(outputs.Key(req.Attempt))) {
+			resp.Addresses = append(resp.Addresses, view.Members[i].Address)
 		}
-		return answer, nil
+		return resp, nil
 	})
 }
 
 // Append stores a block of records.
 func (w *writerService) Append(ctx context.Context, r *connect.Request[pb.AppendRequest]) (*connect.Response[pb.AppendResponse], error) {
-	q := r.Msg
-	if err := w.authorize(ctx, q.Attempt, q.Secret, q.Meta); err != nil {
+	req := r.Msg
+	if err := w.authorize(ctx, req.Attempt, req.Secret, req.Meta); err != nil {
 		return nil, err
 	}
-	if q.Block == nil {
+	if req.Block == nil {
 		return nil, invalidField("block", "missing")
 	}
 	return handleWrite(w, func() (*pb.AppendResponse, error) {
-		copies, err := w.node.Append(ctx, q.Attempt, q.Meta, q.Block)
+		copies, err := w.node.Append(ctx, req.Attempt, req.Meta, req.Block)
 		return &pb.AppendResponse{Copies: uint32(copies)}, err
 	})
 }
 
 // MissingChunks returns the chunks of its artefacts that a writer has to send.
 func (w *writerService) MissingChunks(ctx context.Context, r *connect.Request[pb.MissingChunksRequest]) (*connect.Response[pb.MissingChunksResponse], error) {
-	q := r.Msg
-	if err := w.authorize(ctx, q.Attempt, q.Secret, nil); err != nil {
+	req := r.Msg
+	if err := w.authorize(ctx, req.Attempt, req.Secret, nil); err != nil {
 		return nil, err
 	}
-	if len(q.Sha256) > outputs.MaxChunks {
+	if len(req.Sha256) > outputs.MaxChunks {
 		return nil, invalidField("sha256", fmt.Sprintf("must be at most %d", outputs.MaxChunks))
 	}
 	return handleWrite(w, func() (*pb.MissingChunksResponse, error) {
-		missing, err := w.node.MissingChunks(ctx, q.Attempt, q.Sha256)
+		missing, err := w.node.MissingChunks(ctx, req.Attempt, req.Sha256)
 		return &pb.MissingChunksResponse{Sha256: missing}, err
 	})
 }
 
 // PutChunk stores a chunk of an artefact.
 func (w *writerService) PutChunk(ctx context.Context, r *connect.Request[pb.PutChunkRequest]) (*connect.Response[pb.PutChunkResponse], error) {
-	q := r.Msg
-	if err := w.authorize(ctx, q.Attempt, q.Secret, nil); err != nil {
+	req := r.Msg
+	if err := w.authorize(ctx, req.Attempt, req.Secret, nil); err != nil {
 		return nil, err
 	}
-	if q.Chunk == nil {
+	if req.Chunk == nil {
 		return nil, invalidField("chunk", "missing")
 	}
 	return handleWrite(w, func() (*pb.PutChunkResponse, error) {
-		copies, err := w.node.PutChunk(ctx, q.Attempt, q.Chunk)
+		copies, err := w.node.PutChunk(ctx, req.Attempt, req.Chunk)
 		return &pb.PutChunkResponse{Copies: uint32(copies)}, err
 	})
 }
 
 // Seal ends an attempt.
 func (w *writerService) Seal(ctx context.Context, r *connect.Request[pb.SealRequest]) (*connect.Response[pb.SealResponse], error) {
-	q := r.Msg
-	if err := w.authorize(ctx, q.Attempt, q.Secret, q.Meta); err != nil {
+	req := r.Msg
+	if err := w.authorize(ctx, req.Attempt, req.Secret, req.Meta); err != nil {
 		return nil, err
 	}
-	if err := outputs.CheckSeal(q.Seal, w.node.Limits().ArtefactBytes); err != nil {
+	if err := outputs.CheckSeal(req.Seal, w.node.Limits().ArtefactBytes); err != nil {
 		return nil, connectError(err)
 	}
 	return handleWrite(w, func() (*pb.SealResponse, error) {
-		copies, err := w.node.Seal(ctx, q.Attempt, q.Meta, q.Seal)
+		copies, err := w.node.Seal(ctx, req.Attempt, req.Meta, req.Seal)
 		return &pb.SealResponse{Copies: uint32(copies)}, err
 	})
 }
