--- a/internal/outputs/cluster/overreplicated_test.go
+++ b/internal/outputs/cluster/overreplicated_test.go
@@ -12,7 +12,7 @@
 	pb "reedtrack/internal/outputs/outputsv1"
 )
 
-// newHeld returns a replica that holds spans, given as pairs of bounds.
+// newHeld returns the description of a replica with spans, given as pairs of bounds.
 func newHeld(sealed, complete bool, bounds ...uint64) *pb.Held {
 	var spans outputs.Spans
 	for i := 0; i+1 < len(bounds); i += 2 {
@@ -21,8 +21,8 @@
 	return &pb.Held{Complete: complete, Summary: &pb.Summary{Sealed: sealed}, Spans: spans}
 }
 
-// A member that asks whether it may drop its replica gets a yes only if the local
-// replica has all of it.
+// A replica is confirmed to another member only if it has all the data of the other's
+// replica.
 func TestCoversNeedsEverythingTheOtherHolds(t *testing.T) {
 	for _, c := range []struct {
 		name          string
@@ -45,18 +45,18 @@
 	}
 }
 
-// confirmingPeer is a peer that confirms everything.
+// confirmingPeer is a peer that confirms every replica.
 type confirmingPeer struct{ Peer }
 
 func (confirmingPeer) Confirm(_ context.Context, r *connect.Request[pb.ConfirmRequest]) (*connect.Response[pb.ConfirmResponse], error) {
-	answer := &pb.ConfirmResponse{Held: make([]bool, len(r.Msg.Held))}
-	for i := range answer.Held {
-		answer.Held[i] = true
+	resp := &pb.ConfirmResponse{Held: make([]bool, len(r.Msg.Held))}
+	for i := range resp.Held {
+		resp.Held[i] = true
 	}
-	return connect.NewResponse(answer), nil
+	return connect.NewResponse(resp), nil
 }
 
-// keyPlacedOn returns the key of an attempt whose only replica belongs on a member.
+// keyPlacedOn returns the key of an attempt whose only replica is placed on a member.
 func keyPlacedOn(v *View, member int) []byte {
 	run := outputs.RunFromSecret([]byte("0123456789abcdef"))
 	for task := uint32(0); ; task++ {
@@ -67,9 +67,9 @@
 	}
 }
 
-// Two members with different views could each drop their replica on the strength of
-// the other's: one that has confirmed its replica keeps it for a while, whoever
-// confirms it then.
+// Two members with different views must not both drop their replicas because of each
+// other's confirmation. A member that has confirmed a replica keeps it for PinDuration,
+// even if another member confirms its own in the meantime.
 func TestConfirmedReplicaIsPinned(t *testing.T) {
 	store, err := disk.Open(disk.Options{Dir: t.TempDir()})
 	if err != nil {
@@ -93,7 +93,7 @@
 		t.Fatal(err)
 	}
 	request := &pb.ConfirmRequest{Held: []*pb.Held{{Key: key, Summary: &pb.Summary{}}}}
-	if answer := n.Confirm(request); !answer.Held[0] {
+	if resp := n.Confirm(request); !resp.Held[0] {
 		t.Fatal("a complete replica was not confirmed")
 	}
 	m.mu.Lock()
@@ -102,7 +102,7 @@
 	if n.dropOverReplicated(t.Context()); store.Held(key) == nil {
 		t.Fatal("dropped a replica that was just confirmed to another member")
 	}
-	if answer := n.Confirm(request); answer.Held[0] {
+	if resp := n.Confirm(request); resp.Held[0] {
 		t.Error("confirmed a replica that belongs elsewhere")
 	}
 	time.Sleep(500 * time.Millisecond)
--- a/internal/outputs/cluster/readtail.go
+++ b/internal/outputs/cluster/readtail.go
@@ -10,15 +10,16 @@
 )
 
 const (
-	// firstTailRecords is how many records from the end are searched first for the
-	// last lines.
-	firstTailRecords = 16
-	// tailGrowth is by how much more is searched each time that they were too few.
-	tailGrowth = 8
+	// initialTailRecords is the number of records from the end that are searched first
+	// for the last lines.
+	initialTailRecords = 16
+	// tailGrowthFactor is the factor by which the number of searched records grows while
+	// they hold too few lines.
+	tailGrowthFactor = 8
 )
 
-// seekTail moves to the place from which on TailLines lines follow. It reads ever
-// more records from the end until they hold enough lines.
+// seekTail moves to the start of the last TailLines lines. It reads a growing number of
+// records from the end until they hold enough lines.
 func (r *attemptReader) seekTail(ctx context.Context) error {
 	list, unreachable := r.node.replicas(ctx, r.key, false)
 	if len(list) == 0 {
@@ -28,7 +29,7 @@
 	for _, c := range list {
 		end = max(end, outputs.Spans(c.held.Spans).End())
 	}
-	for back := uint64(firstTailRecords); ; back *= tailGrowth {
+	for back := uint64(initialTailRecords); ; back *= tailGrowthFactor {
 		from := max(end-min(back, end), r.request.From)
 		tail, err := r.readTail(ctx, from)
 		if err != nil {
@@ -47,10 +48,10 @@
 	}
 }
 
-// readTail reads the records from one on.
+// readTail reads the records starting at the given one.
 func (r *attemptReader) readTail(ctx context.Context, from uint64) ([]*pb.Record, error) {
 	var tail []*pb.Record
-	probe := &attemptReader{
+	tailReader := &attemptReader{
 		node:     r.node,
 		key:      r.key,
 		request:  &pb.ReadRequest{From: from},
@@ -62,15 +63,15 @@
 			return nil
 		},
 	}
-	err := probe.run(ctx)
+	err := tailReader.run(ctx)
 	return tail, err
 }
 
-// lastLines finds where the last lines begin: in which record, and how many bytes
-// into it. A line without a newline at the end counts.
+// lastLines finds the record in which the last lines begin and the offset in its data.
+// A final line without a newline counts.
 func lastLines(records []*pb.Record, lines uint64) (seq uint64, skip int, enough bool) {
 	seen := uint64(0)
-	atEnd := true // nothing but a final newline was passed
+	atEnd := true // only a final newline was passed so far
 	for i := len(records) - 1; i >= 0; i-- {
 		rec := records[i]
 		if rec.Stream == pb.Stream_STREAM_GAP {
@@ -81,7 +82,7 @@
 			if newline < 0 {
 				break
 			}
-			if !(atEnd && newline == len(rec.Data)-1) { // the newline at the very end begins no line
+			if !(atEnd && newline == len(rec.Data)-1) { // no line begins after the final newline
 				if seen++; seen == lines {
 					return rec.Seq, newline + 1, true
 				}
--- a/internal/outputs/serve/download.go
+++ b/internal/outputs/serve/download.go
@@ -19,20 +19,21 @@
 // streamNames are the values of the query parameter "stream".
 var streamNames = map[string]pb.Stream{"stdout": pb.Stream_STREAM_STDOUT, "stderr": pb.Stream_STREAM_STDERR}
 
-// log sends an attempt's output as text, escaped so that it can't steer a terminal,
-// or with raw=1 as it is.
+// log sends an attempt's output as text, with terminal control sequences escaped, or
+// unchanged with raw=1.
 func (p pages) log(c echo.Context) error {
 	s, err := p.findAttempt(c)
 	if err != nil {
 		return err
 	}
-	q, err := parseReadRequest(c, s.Attempt)
+	req, err := parseReadRequest(c, s.Attempt)
 	if err != nil {
 		return err
 	}
 	raw := queryFlag(c, "raw")
 	w := c.Response()
-	// The status waits for the first message: until then an error can be answered.
+	// The status is sent with the first message, so that errors before it can still
+	// set another status.
 	begin := func() {
 		if w.Committed {
 			return
@@ -44,7 +45,7 @@
 		w.Header().Set("Reedtrack-Attempt", outputs.FormatAttempt(s.Attempt))
 		w.WriteHeader(http.StatusOK)
 	}
-	err = p.reader.read(c.Request().Context(), q, func(m *pb.ReadResponse) error {
+	err = p.reader.read(c.Request().Context(), req, func(m *pb.ReadResponse) error {
 		begin()
 		if _, err := w.Write(appendLog(nil, m, raw)); err != nil {
 			return err
@@ -59,26 +60,26 @@
 }
 
 func parseReadRequest(c echo.Context, a *pb.Attempt) (*pb.ReadRequest, error) {
-	q := &pb.ReadRequest{Attempt: a, Follow: queryFlag(c, "follow")}
+	req := &pb.ReadRequest{Attempt: a, Follow: queryFlag(c, "follow")}
 	if name := c.QueryParam("stream"); name != "" {
 		stream, ok := streamNames[name]
 		if !ok {
-			return nil, badField("stream", "must be stdout or stderr")
+			return nil, invalidField("stream", "must be stdout or stderr")
 		}
-		q.Streams = []pb.Stream{stream}
+		req.Streams = []pb.Stream{stream}
 	}
 	if tail := c.QueryParam("tail"); tail != "" {
 		lines, err := strconv.ParseUint(tail, 10, 31)
 		if err != nil {
-			return nil, badField("tail", "must be a number of lines")
+			return nil, invalidField("tail", "must be a number of lines")
 		}
-		q.TailLines = lines
+		req.TailLines = lines
 	}
-	return q, nil
+	return req, nil
 }
 
-// appendLog appends a message of a read as it stands in a log. Raw, it is the task's
-// bytes alone; otherwise gaps and holes have a line each.
+// appendLog appends the log text of a read message. In raw mode this is only the task's
+// output; otherwise each gap and hole is described on a line of its own.
 func appendLog(to []byte, m *pb.ReadResponse, raw bool) []byte {
 	for _, r := range m.Records {
 		switch {
@@ -99,23 +100,22 @@
 	return to
 }
 
-// fetch sends an artefact. A Range that begins somewhere and ends at the end is
-// honoured.
+// fetch sends an artefact. It supports ranges that extend to the end of the artefact.
 func (p pages) fetch(c echo.Context) error {
 	s, err := p.findAttempt(c)
 	if err != nil {
 		return err
 	}
 	name := c.Param("*")
-	if c.Request().URL.RawPath != "" { // echo leaves the parameter escaped then
+	if c.Request().URL.RawPath != "" { // in this case echo leaves the parameter escaped
 		if name, err = url.PathUnescape(name); err != nil {
-			return badField("path", "not an escaped path")
+			return invalidField("path", "not an escaped path")
 		}
 	}
 	offset, partial := parseRange(c.Request().Header.Get("Range"))
-	q := &pb.FetchRequest{Attempt: s.Attempt, Path: name, Offset: offset}
+	req := &pb.FetchRequest{Attempt: s.Attempt, Path: name, Offset: offset}
 	w := c.Response()
-	return p.reader.fetch(c.Request().Context(), q, func(m *pb.FetchResponse) error {
+	return p.reader.fetch(c.Request().Context(), req, func(m *pb.FetchResponse) error {
 		if m.Artefact != nil {
 			setArtefactHeader(w.Header(), m.Artefact, name, offset, partial)
 			status := http.StatusOK
@@ -129,7 +129,7 @@
 	})
 }
 
-// parseRange reads a Range header of the form bytes=N-. Others are passed over, as
+// parseRange parses a Range header of the form bytes=N-. Other forms are ignored, as
 // HTTP allows.
 func parseRange(header string) (offset uint64, ok bool) {
 	from, ok := strings.CutPrefix(header, "bytes=")
--- a/internal/outputs/serve/errors.go
+++ b/internal/outputs/serve/errors.go
@@ -17,15 +17,15 @@
 )
 
 const (
-	// retrySoon is for what passes by itself: a queue that drains, a member that
-	// comes back.
-	retrySoon = time.Second
-	// retryFullDisk gives compaction time to free something.
-	retryFullDisk = 5 * time.Second
+	// shortRetryDelay is for transient conditions, such as a full queue or an
+	// unreachable member.
+	shortRetryDelay = time.Second
+	// fullDiskRetryDelay gives compaction time to free space.
+	fullDiskRetryDelay = 5 * time.Second
 )
 
-// connectError turns an error into what the caller is told: a code, the reason, and
-// in Retry-After when to retry, if that helps.
+// connectError converts an error to a Connect error with a code and the reason. If a
+// retry can succeed, the error has the header Retry-After.
 func connectError(err error) error {
 	if err == nil {
 		return nil
@@ -45,13 +45,13 @@
 	case errors.As(err, &limit):
 		return newError(connect.CodeResourceExhausted, err, limit.RetryAfter)
 	case errors.Is(err, disk.ErrFull):
-		return newError(connect.CodeResourceExhausted, err, retryFullDisk)
+		return newError(connect.CodeResourceExhausted, err, fullDiskRetryDelay)
 	case errors.Is(err, disk.ErrBusy), errors.Is(err, disk.ErrClosed), errors.Is(err, cluster.ErrUnavailable), errors.Is(err, disk.ErrDamaged):
-		return newError(connect.CodeUnavailable, err, retrySoon)
+		return newError(connect.CodeUnavailable, err, shortRetryDelay)
 	case errors.Is(err, disk.ErrNotFound):
 		return newError(connect.CodeNotFound, err, 0)
 	case errors.Is(err, context.DeadlineExceeded):
-		return newError(connect.CodeDeadlineExceeded, err, retrySoon)
+		return newError(connect.CodeDeadlineExceeded, err, shortRetryDelay)
 	case errors.Is(err, context.Canceled):
 		return newError(connect.CodeCanceled, err, 0)
 	case errors.As(err, &remote):
@@ -60,17 +60,17 @@
 	return newError(connect.CodeInternal, err, 0)
 }
 
-// forwardedError passes on the answer of a peer.
+// forwardedError returns a peer's error for the caller.
 func forwardedError(remote *connect.Error) error {
 	code, retryAfter := remote.Code(), time.Duration(0)
 	if code == connect.CodeUnavailable || code == connect.CodeResourceExhausted {
-		retryAfter = retrySoon
+		retryAfter = shortRetryDelay
 	}
 	return newError(code, errors.New(remote.Message()), retryAfter)
 }
 
-// newError returns an error with a code, and with Retry-After in whole seconds unless
-// that is 0.
+// newError returns an error with a code. If retryAfter is positive, the error has the
+// header Retry-After in whole seconds, rounded up.
 func newError(code connect.Code, err error, retryAfter time.Duration) error {
 	e := connect.NewError(code, err)
 	if retryAfter > 0 {
@@ -79,16 +79,17 @@
 	return e
 }
 
-// badField refuses a request because of one of its fields.
-func badField(field, reason string) error {
+// invalidField returns the error for a request with an invalid field.
+func invalidField(field, reason string) error {
 	return connectError(&protocol.InvalidFieldError{Field: field, Reason: reason})
 }
 
 func permissionDenied(err error) error { return connect.NewError(connect.CodePermissionDenied, err) }
 
-// overloaded refuses a request because too many of its kind run at once.
+// overloaded returns the error for a request that exceeds the concurrency limit of its
+// kind.
 func overloaded(kind string) error {
-	return newError(connect.CodeUnavailable, errors.New("too many "+kind+" at once"), retrySoon)
+	return newError(connect.CodeUnavailable, errors.New("too many "+kind+" at once"), shortRetryDelay)
 }
 
 // httpStatus returns the HTTP status of an error for plain requests.
--- a/internal/outputs/serve/findattempt.go
+++ b/internal/outputs/serve/findattempt.go
@@ -13,14 +13,14 @@
 	pb "reedtrack/internal/outputs/outputsv1"
 )
 
-// findPageSize is the limit of one list request of [pages.findAttempt]: the highest
-// that is allowed, since all attempts of the task are looked at.
+// findPageSize is the page size of list requests of [pages.findAttempt]: the maximum,
+// because all attempts of the task are examined.
 const findPageSize = 1000
 
-// attemptSelector says which attempts of a task a request for a page may be about.
+// attemptSelector selects attempts of a task by the query parameters of a request.
 type attemptSelector struct {
 	try uint64 // 0: any
-	run string // a prefix of the run in hex; empty: any
+	run string // hexadecimal prefix of the run; empty: any
 }
 
 func (s attemptSelector) matches(a *pb.Attempt) bool {
@@ -30,23 +30,23 @@
 	return s.run == "" || strings.HasPrefix(hex.EncodeToString(a.Run), s.run)
 }
 
-// findAttempt returns the attempt that a request is about: by try and run where they
-// are given, otherwise the newest of the task.
+// findAttempt returns the newest attempt of the requested task that matches the try and
+// run, if these are given.
 func (p pages) findAttempt(c echo.Context) (*pb.Summary, error) {
 	task, err := strconv.ParseUint(c.Param("task"), 10, 32)
 	if err != nil {
-		return nil, badField("task", "must be a number")
+		return nil, invalidField("task", "must be a number")
 	}
 	selector := attemptSelector{run: c.QueryParam("run")}
 	if t := c.QueryParam("try"); t != "" {
 		if selector.try, err = strconv.ParseUint(t, 10, 64); err != nil {
-			return nil, badField("try", "must be a number")
+			return nil, invalidField("try", "must be a number")
 		}
 	}
 	var newest *pb.Summary
-	q := &pb.ListRequest{Job: c.Param("job"), Task: proto.Uint32(uint32(task)), Limit: findPageSize}
+	req := &pb.ListRequest{Job: c.Param("job"), Task: proto.Uint32(uint32(task)), Limit: findPageSize}
 	for {
-		page, err := p.reader.list(c.Request().Context(), q)
+		page, err := p.reader.list(c.Request().Context(), req)
 		if err != nil {
 			return nil, err
 		}
@@ -56,7 +56,7 @@
 			}
 		}
 		if len(page.Next) > 0 {
-			q.After = page.Next
+			req.After = page.Next
 			continue
 		}
 		if newest == nil && len(page.Unreachable) > 0 {
@@ -70,7 +70,7 @@
 	return newest, nil
 }
 
-// isNewer reports whether one attempt of a task came after another.
+// isNewer reports whether attempt a of a task is newer than b.
 func isNewer(a, b *pb.Summary) bool {
 	if a.Attempt.Try != b.Attempt.Try {
 		return a.Attempt.Try > b.Attempt.Try
--- a/internal/outputs/serve/pages.go
+++ b/internal/outputs/serve/pages.go
@@ -18,8 +18,8 @@
 	pb "reedtrack/internal/outputs/outputsv1"
 )
 
-// pages are for people with a browser or curl. Each listing is also there as JSON
-// with ?json=1.
+// pages handles the HTTP pages for browsers and curl. Each listing is also available as
+// JSON with ?json=1.
 type pages struct{ reader *readerService }
 
 func (p pages) routes(e *echo.Echo) {
@@ -33,8 +33,8 @@
 	e.GET("/jobs/:job/:task/artefacts/*", instrumented("/jobs/:job/:task/artefacts/*", p.fetch))
 }
 
-// instrumented observes a page's requests, and sets the headers that keep a task's
-// output from acting in the reader's browser.
+// instrumented wraps the handler of a page with request metrics, and sets the security
+// headers that keep browsers from executing a task's output.
 func instrumented(path string, next echo.HandlerFunc) echo.HandlerFunc {
 	return func(c echo.Context) error {
 		start := time.Now()
@@ -47,10 +47,10 @@
 	}
 }
 
-// writeError answers a request for a page with an error as a line of text.
+// writeError responds to a request for a page with an error as a line of text.
 func writeError(err error, c echo.Context) {
 	if c.Response().Committed {
-		return // in the middle of a stream: the broken connection tells
+		return // the response has started; the broken connection signals the error
 	}
 	var httpError *echo.HTTPError
 	if errors.As(err, &httpError) {
@@ -68,7 +68,7 @@
 	c.String(httpStatus(err), text+"\n")
 }
 
-// queryFlag reports whether a query parameter is set to a true value.
+// queryFlag returns the boolean value of a query parameter, false if it is invalid.
 func queryFlag(c echo.Context, name string) bool {
 	v, _ := strconv.ParseBool(c.QueryParam(name))
 	return v
@@ -104,11 +104,11 @@
 
 // job lists a job's attempts.
 func (p pages) job(c echo.Context) error {
-	q, err := parseListRequest(c)
+	req, err := parseListRequest(c)
 	if err != nil {
 		return err
 	}
-	list, err := p.reader.list(c.Request().Context(), q)
+	list, err := p.reader.list(c.Request().Context(), req)
 	if err != nil {
 		return err
 	}
@@ -116,7 +116,7 @@
 		return writeJSON(c, list)
 	}
 	return render(c, jobPage, jobPageData{
-		Job:         q.Job,
+		Job:         req.Job,
 		Which:       c.QueryParam("which"),
 		Attempts:    list.Attempts,
 		Unreachable: list.Unreachable,
@@ -127,31 +127,31 @@
 func parseListRequest(c echo.Context) (*pb.ListRequest, error) {
 	which, ok := listFilters[c.QueryParam("which")]
 	if !ok {
-		return nil, badField("which", "must be all, failed or open")
+		return nil, invalidField("which", "must be all, failed or open")
 	}
-	q := &pb.ListRequest{Job: c.Param("job"), Which: which}
+	req := &pb.ListRequest{Job: c.Param("job"), Which: which}
 	if task := c.QueryParam("task"); task != "" {
 		n, err := strconv.ParseUint(task, 10, 32)
 		if err != nil {
-			return nil, badField("task", "must be a number")
+			return nil, invalidField("task", "must be a number")
 		}
-		q.Task = proto.Uint32(uint32(n))
+		req.Task = proto.Uint32(uint32(n))
 	}
 	if limit := c.QueryParam("limit"); limit != "" {
 		n, err := strconv.ParseUint(limit, 10, 16)
 		if err != nil {
-			return nil, badField("limit", "must be a number")
+			return nil, invalidField("limit", "must be a number")
 		}
-		q.Limit = uint32(n)
+		req.Limit = uint32(n)
 	}
 	if after := c.QueryParam("after"); after != "" {
 		key, err := hex.DecodeString(after)
 		if err != nil {
-			return nil, badField("after", "must be what the page before says")
+			return nil, invalidField("after", "must be what the page before says")
 		}
-		q.After = key
+		req.After = key
 	}
-	return q, nil
+	return req, nil
 }
 
 // artefacts lists an attempt's artefacts.
--- a/internal/outputs/serve/reader.go
+++ b/internal/outputs/serve/reader.go
@@ -16,14 +16,14 @@
 	"reedtrack/internal/protocol"
 )
 
-// readerService serves people, by RPC and through [pages].
+// readerService is the RPC service for readers. It is also used by [pages].
 type readerService struct {
 	node        *cluster.Node
 	slots       chan struct{}
-	followSlots chan struct{} // of reads that may stay for hours
+	followSlots chan struct{} // for reads with Follow, which may last for hours
 }
 
-// authorize checks a caller's right to read an attempt.
+// authorize returns an error if the caller may not read an attempt.
 func (s *readerService) authorize(ctx context.Context, a *pb.Attempt) error {
 	if err := outputs.CheckAttempt(a); err != nil {
 		return connectError(err)
@@ -39,9 +39,9 @@
 	return response(s.list(ctx, r.Msg))
 }
 
-func (s *readerService) list(ctx context.Context, q *pb.ListRequest) (*pb.ListResponse, error) {
-	if !protocol.ValidJobID(q.Job) {
-		return nil, badField("job", "must look like wk-000412")
+func (s *readerService) list(ctx context.Context, req *pb.ListRequest) (*pb.ListResponse, error) {
+	if !protocol.ValidJobID(req.Job) {
+		return nil, invalidField("job", "must look like wk-000412")
 	}
 	caller := callerOf(ctx)
 	if caller.Role == access.RolePeer {
@@ -52,8 +52,8 @@
 		return nil, err
 	}
 	defer release()
-	answer, err := s.node.List(ctx, caller.TeamScope(), q)
-	return answer, connectError(err)
+	resp, err := s.node.List(ctx, caller.TeamScope(), req)
+	return resp, connectError(err)
 }
 
 // Describe returns an attempt's summary and seal.
@@ -70,16 +70,16 @@
 		return nil, err
 	}
 	defer release()
-	answer, err := s.node.Describe(ctx, a)
-	return answer, connectError(err)
+	resp, err := s.node.Describe(ctx, a)
+	return resp, connectError(err)
 }
 
-// response wraps the answer to an RPC, whose errors have a code already.
-func response[T any](answer *T, err error) (*connect.Response[T], error) {
+// response wraps the result of an RPC. Its error must be a Connect error already.
+func response[T any](resp *T, err error) (*connect.Response[T], error) {
 	if err != nil {
 		return nil, err
 	}
-	return connect.NewResponse(answer), nil
+	return connect.NewResponse(resp), nil
 }
 
 // Read streams an attempt's records.
@@ -87,15 +87,15 @@
 	return s.read(ctx, r.Msg, stream.Send)
 }
 
-func (s *readerService) read(ctx context.Context, q *pb.ReadRequest, emit func(*pb.ReadResponse) error) error {
-	if err := s.authorize(ctx, q.Attempt); err != nil {
+func (s *readerService) read(ctx context.Context, req *pb.ReadRequest, emit func(*pb.ReadResponse) error) error {
+	if err := s.authorize(ctx, req.Attempt); err != nil {
 		return err
 	}
-	if q.TailLines > math.MaxInt32 {
-		return badField("tail_lines", "too many")
+	if req.TailLines > math.MaxInt32 {
+		return invalidField("tail_lines", "too many")
 	}
 	slots := s.slots
-	if q.Follow {
+	if req.Follow {
 		slots = s.followSlots
 	}
 	release, err := acquireSlot(slots, "readers")
@@ -103,26 +103,26 @@
 		return err
 	}
 	defer release()
-	return connectError(s.node.Read(ctx, q, emit))
+	return connectError(s.node.Read(ctx, req, emit))
 }
 
-// Fetch streams an artefact from an offset on.
+// Fetch streams an artefact, starting at an offset.
 func (s *readerService) Fetch(ctx context.Context, r *connect.Request[pb.FetchRequest], stream *connect.ServerStream[pb.FetchResponse]) error {
 	return s.fetch(ctx, r.Msg, stream.Send)
 }
 
-// fetch sends first the description of an artefact, then its data chunk by chunk.
-func (s *readerService) fetch(ctx context.Context, q *pb.FetchRequest, send func(*pb.FetchResponse) error) error {
-	d, err := s.describe(ctx, q.Attempt)
+// fetch sends the description of an artefact and then its data, chunk by chunk.
+func (s *readerService) fetch(ctx context.Context, req *pb.FetchRequest, send func(*pb.FetchResponse) error) error {
+	d, err := s.describe(ctx, req.Attempt)
 	if err != nil {
 		return err
 	}
-	artefact := findArtefact(d.Seal, q.Path)
+	artefact := findArtefact(d.Seal, req.Path)
 	if artefact == nil {
-		return connect.NewError(connect.CodeNotFound, fmt.Errorf("%s has no artefact %s", outputs.FormatAttempt(q.Attempt), outputs.EscapePath(q.Path)))
+		return connect.NewError(connect.CodeNotFound, fmt.Errorf("%s has no artefact %s", outputs.FormatAttempt(req.Attempt), outputs.EscapePath(req.Path)))
 	}
-	if q.Offset > artefact.Size {
-		return badField("offset", fmt.Sprintf("the artefact has %d bytes", artefact.Size))
+	if req.Offset > artefact.Size {
+		return invalidField("offset", fmt.Sprintf("the artefact has %d bytes", artefact.Size))
 	}
 	release, err := acquireSlot(s.slots, "readers")
 	if err != nil {
@@ -132,8 +132,8 @@
 	if err := send(&pb.FetchResponse{Artefact: artefact}); err != nil {
 		return err
 	}
-	for at := q.Offset; at < artefact.Size; {
-		data, err := s.chunkData(ctx, q.Attempt, artefact, at)
+	for at := req.Offset; at < artefact.Size; {
+		data, err := s.chunkData(ctx, req.Attempt, artefact, at)
 		if err != nil {
 			return err
 		}
@@ -145,7 +145,7 @@
 	return nil
 }
 
-// findArtefact returns the artefact of a path; nil: there is none.
+// findArtefact returns the artefact with a path, or nil.
 func findArtefact(seal *pb.Seal, path string) *pb.Artefact {
 	var found *pb.Artefact
 	for _, f := range seal.GetArtefacts() {
@@ -156,13 +156,13 @@
 	return found
 }
 
-// chunkData returns the data from an offset to the end of the chunk that it is in.
+// chunkData returns the data from an offset to the end of the chunk that contains it.
 func (s *readerService) chunkData(ctx context.Context, a *pb.Attempt, artefact *pb.Artefact, offset uint64) ([]byte, error) {
 	index := offset / outputs.ChunkSize
 	start := index * outputs.ChunkSize
 	data, err := s.node.Chunk(ctx, a.Team, artefact.Chunks[index], outputs.Route(outputs.Key(a)))
 	if errors.Is(err, disk.ErrNotFound) {
-		// The seal names it, so it exists: for the reader it is unavailable.
+		// The seal refers to the chunk, so it exists but is currently unavailable.
 		err = fmt.Errorf("bytes from %d on: %w", start, cluster.ErrUnavailable)
 	}
 	if err != nil {
