--- a/internal/outputs/cluster/overreplicated_test.go
+++ b/internal/outputs/cluster/overreplicated_test.go
@@ -23,7 +23,7 @@
 
 // A replica is confirmed to another member only if it has all the data of the other's
 // replica.
-func TestCoversNeedsEverythingTheOtherHolds(t *testing.T) {
+func TestCoversRequiresAllRemoteData(t *testing.T) {
 	for _, c := range []struct {
 		name          string
 		local, remote *pb.Held
--- a/internal/outputs/cluster/view_test.go
+++ b/internal/outputs/cluster/view_test.go
@@ -28,7 +28,7 @@
 
 // Replicas are in different zones, members hold about the same number of them, and a
 // member that leaves moves only the routes that it held.
-func TestViewReplicasSpreadZonesAndMoveLittle(t *testing.T) {
+func TestReplicaPlacementSpreadsZonesAndMovesFewRoutes(t *testing.T) {
 	const routes, factor = 20000, 2
 	v := newView(9, 3)
 	removed := v.Members[4].Name
--- a/internal/outputs/daemon/limits_test.go
+++ b/internal/outputs/daemon/limits_test.go
@@ -66,7 +66,7 @@
 	}
 }
 
-func TestTeamOverItsBoundIsRefused(t *testing.T) {
+func TestTeamOverByteLimitIsRefused(t *testing.T) {
 	c := newTestCluster(t, func(o *settings.Outputs) { o.TeamBytes = 3 << 20 })
 	c.startStores("c")
 	w := c.newWriter(9, 1, "b")
--- a/internal/outputs/daemon/partition_test.go
+++ b/internal/outputs/daemon/partition_test.go
@@ -105,7 +105,7 @@
 
 // A replica that a store holds in place of an unreachable owner is dropped after all
 // owners hold it, and not before. An owner keeps the replica that it confirmed.
-func TestHintedCopyDroppedOnceOwnersHaveIt(t *testing.T) {
+func TestHintedReplicaDroppedOnceOwnersHaveIt(t *testing.T) {
 	c := newTestCluster(t, nil)
 	c.startStores("0", "1", "2")
 	w := c.newWriter(0, 1, "k")
--- a/internal/outputs/daemon/replication_test.go
+++ b/internal/outputs/daemon/replication_test.go
@@ -114,7 +114,7 @@
 // The outputs of attempts of one task stay separate and complete, if a superseded
 // attempt continues to write after the next one has ended and if two machines both act
 // as the writer of one try.
-func TestWritersOfOneTaskAreKeptApart(t *testing.T) {
+func TestAttemptsOfOneTaskStaySeparate(t *testing.T) {
 	c := newTestCluster(t, nil)
 	c.startStores("a", "b")
 	first, concurrent, second := c.newWriter(0, 1, "a"), c.newWriter(0, 1, "b"), c.newWriter(0, 2, "c")
--- a/internal/outputs/serve/pages_test.go
+++ b/internal/outputs/serve/pages_test.go
@@ -47,16 +47,16 @@
 	c := outputsv1connect.NewWriterServiceClient(http.DefaultClient, d.URL)
 	a := &pb.Attempt{Job: "wk-000008", Task: task, Try: 1, Team: "red", Machine: "<script>alert(1)", Stint: 1, Run: outputs.RunOf(secret)}
 	list := []*pb.Record{{Seq: 0, AtNs: 1, Stream: 1, Data: []byte("<b>\x1b]0;owned\x07</b>\n")}, {Seq: 1, AtNs: 2, Stream: 2, Data: []byte("last\n")}}
-	d1 := outputs.NewDigest()
+	digest := outputs.NewDigest()
 	for _, r := range list {
-		d1.Add(r)
+		digest.Add(r)
 	}
 	data := bytes.Repeat([]byte("0123456789"), 200000)
 	var chunks [][]byte
 	for at := 0; at < len(data); at += outputs.ChunkSize {
-		ch := outputs.PackChunk(data[at:min(len(data), at+outputs.ChunkSize)])
-		chunks = append(chunks, ch.Sha256)
-		if _, err := c.PutChunk(ctx, connect.NewRequest(&pb.PutChunkRequest{Attempt: a, Secret: secret, Chunk: ch})); err != nil {
+		chunk := outputs.PackChunk(data[at:min(len(data), at+outputs.ChunkSize)])
+		chunks = append(chunks, chunk.Sha256)
+		if _, err := c.PutChunk(ctx, connect.NewRequest(&pb.PutChunkRequest{Attempt: a, Secret: secret, Chunk: chunk})); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -64,7 +64,7 @@
 		t.Fatal(err)
 	}
 	f := &pb.Artefact{Path: outputs.PathName("out/<i>\x1b?#&\n"), Size: uint64(len(data)), Sha256: make([]byte, 32), Chunks: chunks, ChunkSize: outputs.ChunkSize}
-	if _, err := c.Seal(ctx, connect.NewRequest(&pb.SealRequest{Attempt: a, Secret: secret, Seal: &pb.Seal{Records: 2, Exit: 1, Cause: "exit", Digest: d1.Sum(), Artefacts: []*pb.Artefact{f}}})); err != nil {
+	if _, err := c.Seal(ctx, connect.NewRequest(&pb.SealRequest{Attempt: a, Secret: secret, Seal: &pb.Seal{Records: 2, Exit: 1, Cause: "exit", Digest: digest.Sum(), Artefacts: []*pb.Artefact{f}}})); err != nil {
 		t.Fatal(err)
 	}
 	return a
@@ -148,27 +148,27 @@
 	d := startDaemon(t, serve.ConcurrencyLimits{Writes: 64, Reads: 1, Follows: 1, Connections: 100})
 	a := writeAttempt(t, d, 0)
 	c := outputsv1connect.NewReaderServiceClient(http.DefaultClient, d.URL)
-	wc := outputsv1connect.NewWriterServiceClient(http.DefaultClient, d.URL)
+	writer := outputsv1connect.NewWriterServiceClient(http.DefaultClient, d.URL)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	open := &pb.Attempt{Job: "wk-000008", Task: 1, Try: 1, Team: "red", Machine: "m", Stint: 1, Run: outputs.RunOf(secret)}
-	if _, err := wc.Open(ctx, connect.NewRequest(&pb.OpenRequest{Attempt: open, Secret: secret, Meta: &pb.Meta{}})); err != nil {
+	if _, err := writer.Open(ctx, connect.NewRequest(&pb.OpenRequest{Attempt: open, Secret: secret, Meta: &pb.Meta{}})); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := wc.Append(ctx, connect.NewRequest(&pb.AppendRequest{Attempt: open, Secret: secret, Block: outputs.Pack([]*pb.Record{{Stream: 1, Data: []byte("x")}}, false)})); err != nil {
+	if _, err := writer.Append(ctx, connect.NewRequest(&pb.AppendRequest{Attempt: open, Secret: secret, Block: outputs.Pack([]*pb.Record{{Stream: 1, Data: []byte("x")}}, false)})); err != nil {
 		t.Fatal(err)
 	}
-	st, err := c.Read(ctx, connect.NewRequest(&pb.ReadRequest{Attempt: open, Follow: true}))
-	if err != nil || !st.Receive() {
-		t.Fatal(err, st.Err())
+	stream, err := c.Read(ctx, connect.NewRequest(&pb.ReadRequest{Attempt: open, Follow: true}))
+	if err != nil || !stream.Receive() {
+		t.Fatal(err, stream.Err())
 	}
-	st2, err := c.Read(ctx, connect.NewRequest(&pb.ReadRequest{Attempt: open, Follow: true}))
+	secondStream, err := c.Read(ctx, connect.NewRequest(&pb.ReadRequest{Attempt: open, Follow: true}))
 	if err == nil {
-		st2.Receive()
-		err = st2.Err()
+		secondStream.Receive()
+		err = secondStream.Err()
 	}
-	ce, _ := err.(*connect.Error)
-	if ce == nil || ce.Code() != connect.CodeUnavailable || ce.Meta().Get("Retry-After") != "1" {
+	connectErr, _ := err.(*connect.Error)
+	if connectErr == nil || connectErr.Code() != connect.CodeUnavailable || connectErr.Meta().Get("Retry-After") != "1" {
 		t.Errorf("a second follower: %v", err)
 	}
 	if code, _, _ := httpGet(t, d.URL+"/jobs/wk-000008/0/log"); code != 200 {
--- a/internal/outputs/settings/xml.go
+++ b/internal/outputs/settings/xml.go
@@ -12,31 +12,31 @@
 
 // XML is the element <outputs> as written. Absent elements keep their defaults.
 type XML struct {
-	Page        *string        `xml:"page"`
-	Copies      *float64       `xml:"copies"`
-	Lease       *float64       `xml:"lease-s"`
-	StateShare  *float64       `xml:"state-part"`
-	SegmentMB   *float64       `xml:"disk>segment-mb"`
-	MaxMB       *float64       `xml:"disk>most-mb"`
-	ReserveMB   *float64       `xml:"disk>reserve-mb"`
-	StoreKB     *float64       `xml:"disk>kb-per-s"`
-	AttemptMB   *float64       `xml:"attempt>mb"`
-	AttemptKB   *float64       `xml:"attempt>kb-per-s"`
-	ArtefactMB  *float64       `xml:"attempt>artefact-mb"`
-	TeamMB      *float64       `xml:"team>mb"`
-	TeamKB      *float64       `xml:"team>kb-per-s"`
-	RepairEvery *float64       `xml:"repair>every-s"`
-	RepairAfter *float64       `xml:"repair>after-s"`
-	RepairMB    *float64       `xml:"repair>mb-per-s"`
-	ScrubH      *float64       `xml:"scrub>every-h"`
-	ScrubMB     *float64       `xml:"scrub>mb-per-s"`
-	Retention   []retentionXML `xml:"keep"`
-	Cert        *string        `xml:"tls>cert"`
-	Key         *string        `xml:"tls>key"`
-	CA          *string        `xml:"tls>ca"`
-	Tokens      []tokenXML     `xml:"token"`
-	PeerToken   *string        `xml:"peer-token-file"`
-	Trace       *string        `xml:"trace"`
+	Page                  *string        `xml:"page"`
+	Copies                *float64       `xml:"copies"`
+	Lease                 *float64       `xml:"lease-s"`
+	StateShare            *float64       `xml:"state-part"`
+	SegmentMB             *float64       `xml:"disk>segment-mb"`
+	MaxMB                 *float64       `xml:"disk>most-mb"`
+	ReserveMB             *float64       `xml:"disk>reserve-mb"`
+	StoreKBPerSecond      *float64       `xml:"disk>kb-per-s"`
+	AttemptMB             *float64       `xml:"attempt>mb"`
+	AttemptKBPerSecond    *float64       `xml:"attempt>kb-per-s"`
+	ArtefactMB            *float64       `xml:"attempt>artefact-mb"`
+	TeamMB                *float64       `xml:"team>mb"`
+	TeamKBPerSecond       *float64       `xml:"team>kb-per-s"`
+	RepairIntervalSeconds *float64       `xml:"repair>every-s"`
+	RepairDelaySeconds    *float64       `xml:"repair>after-s"`
+	RepairMBPerSecond     *float64       `xml:"repair>mb-per-s"`
+	ScrubIntervalHours    *float64       `xml:"scrub>every-h"`
+	ScrubMBPerSecond      *float64       `xml:"scrub>mb-per-s"`
+	Retention             []retentionXML `xml:"keep"`
+	Cert                  *string        `xml:"tls>cert"`
+	Key                   *string        `xml:"tls>key"`
+	CA                    *string        `xml:"tls>ca"`
+	Tokens                []tokenXML     `xml:"token"`
+	PeerToken             *string        `xml:"peer-token-file"`
+	Trace                 *string        `xml:"trace"`
 }
 
 type retentionXML struct {
@@ -94,7 +94,7 @@
 	if err := x.readNumbers(&set); err != nil {
 		return set, err
 	}
-	if err := x.readTexts(&set); err != nil {
+	if err := x.readStrings(&set); err != nil {
 		return set, err
 	}
 	if err := set.readRetention(x.Retention); err != nil {
@@ -107,14 +107,14 @@
 }
 
 // number is an element with a numeric value.
-type number struct {
+type numberElement struct {
 	field    string
 	value    *float64 // nil: absent
 	min, max float64
 	set      func(float64)
 }
 
-func (n *number) read() error {
+func (n *numberElement) read() error {
 	if n.value == nil {
 		return nil
 	}
@@ -127,7 +127,7 @@
 }
 
 func (x *XML) readCopies(set *Outputs) error {
-	copies := number{"copies", x.Copies, 1, 7, func(v float64) { set.Copies = int(v) }}
+	copies := numberElement{"copies", x.Copies, 1, 7, func(v float64) { set.Copies = int(v) }}
 	if err := copies.read(); err != nil {
 		return err
 	}
@@ -141,23 +141,23 @@
 	if err := x.readCopies(set); err != nil {
 		return err
 	}
-	numbers := []number{
+	numbers := []numberElement{
 		{"lease-s", x.Lease, 1, 600, seconds(&set.Lease)},
 		{"state-part", x.StateShare, 0.001, 0.5, func(v float64) { set.StateShare = v }},
 		{"disk/segment-mb", x.SegmentMB, 1, 1024, func(v float64) { set.SegmentBytes = int64(v * mebibyte) }},
 		{"disk/most-mb", x.MaxMB, 0, 1e9, bytes(&set.MaxBytes, mebibyte)},
 		{"disk/reserve-mb", x.ReserveMB, 16, 1e6, bytes(&set.ReserveBytes, mebibyte)},
-		{"disk/kb-per-s", x.StoreKB, 0, 1e9, bytes(&set.StoreRate, kibibyte)},
+		{"disk/kb-per-s", x.StoreKBPerSecond, 0, 1e9, bytes(&set.StoreRate, kibibyte)},
 		{"attempt/mb", x.AttemptMB, 1, 1e6, bytes(&set.AttemptBytes, mebibyte)},
-		{"attempt/kb-per-s", x.AttemptKB, 1, 1e7, bytes(&set.AttemptRate, kibibyte)},
+		{"attempt/kb-per-s", x.AttemptKBPerSecond, 1, 1e7, bytes(&set.AttemptRate, kibibyte)},
 		{"attempt/artefact-mb", x.ArtefactMB, 0, 1e6, bytes(&set.ArtefactBytes, mebibyte)},
 		{"team/mb", x.TeamMB, 0, 1e9, bytes(&set.TeamBytes, mebibyte)},
-		{"team/kb-per-s", x.TeamKB, 0, 1e8, bytes(&set.TeamRate, kibibyte)},
-		{"repair/every-s", x.RepairEvery, 0.1, 3600, seconds(&set.RepairInterval)},
-		{"repair/after-s", x.RepairAfter, 0, 86400, seconds(&set.RepairDelay)},
-		{"repair/mb-per-s", x.RepairMB, 0.1, 1e4, bytes(&set.RepairRate, mebibyte)},
-		{"scrub/every-h", x.ScrubH, 0.001, 8760, hours(&set.ScrubInterval)},
-		{"scrub/mb-per-s", x.ScrubMB, 0.1, 1e4, bytes(&set.ScrubRate, mebibyte)},
+		{"team/kb-per-s", x.TeamKBPerSecond, 0, 1e8, bytes(&set.TeamRate, kibibyte)},
+		{"repair/every-s", x.RepairIntervalSeconds, 0.1, 3600, seconds(&set.RepairInterval)},
+		{"repair/after-s", x.RepairDelaySeconds, 0, 86400, seconds(&set.RepairDelay)},
+		{"repair/mb-per-s", x.RepairMBPerSecond, 0.1, 1e4, bytes(&set.RepairRate, mebibyte)},
+		{"scrub/every-h", x.ScrubIntervalHours, 0.001, 8760, hours(&set.ScrubInterval)},
+		{"scrub/mb-per-s", x.ScrubMBPerSecond, 0.1, 1e4, bytes(&set.ScrubRate, mebibyte)},
 	}
 	for i := range numbers {
 		if err := numbers[i].read(); err != nil {
@@ -181,13 +181,13 @@
 	return func(v float64) { *to = uint64(v * unit) }
 }
 
-func (x *XML) readTexts(set *Outputs) error {
-	setText(&set.Page, x.Page)
-	setText(&set.Cert, x.Cert)
-	setText(&set.Key, x.Key)
-	setText(&set.CA, x.CA)
-	setText(&set.PeerToken, x.PeerToken)
-	setText(&set.Trace, x.Trace)
+func (x *XML) readStrings(set *Outputs) error {
+	setString(&set.Page, x.Page)
+	setString(&set.Cert, x.Cert)
+	setString(&set.Key, x.Key)
+	setString(&set.CA, x.CA)
+	setString(&set.PeerToken, x.PeerToken)
+	setString(&set.Trace, x.Trace)
 	if set.Page != "" && !isHTTPURL(set.Page) {
 		return &FieldError{"page", "must be an address as http://127.0.0.1:8110"}
 	}
@@ -197,7 +197,7 @@
 	return nil
 }
 
-func setText(to *string, value *string) {
+func setString(to *string, value *string) {
 	if value != nil {
 		*to = strings.TrimSpace(*value)
 	}
