--- a/internal/outputs/access/certificate_test.go
+++ b/internal/outputs/access/certificate_test.go
@@ -217,11 +217,11 @@
 	}
 	s.replace(func() { s.write(s.certFile, []byte("nonsense")) })
 	if got := s.servedSerial(); got != 4 {
-		t.Errorf("after a file that is no certificate: certificate %d, want 4", got)
+		t.Errorf("after an invalid certificate file: certificate %d, want 4", got)
 	}
 	s.replace(func() { s.issue(ca, "127.0.0.1", 5, -time.Minute) })
 	if got := s.servedSerial(); got != 4 || !strings.Contains(s.reloader.lastLoadError, "expired on") {
-		t.Errorf("after an expired one: certificate %d, want 4; refusal %q", got, s.reloader.lastLoadError)
+		t.Errorf("after an expired certificate: certificate %d, want 4; refusal %q", got, s.reloader.lastLoadError)
 	}
 	s.now = s.now.Add(2 * time.Hour)
 	if _, err := s.reloader.Certificate(nil); err == nil || !strings.Contains(err.Error(), "expired") {
--- a/internal/outputs/access/token_test.go
+++ b/internal/outputs/access/token_test.go
@@ -29,7 +29,7 @@
 func TestNewTokenSetRefusesDuplicate(t *testing.T) {
 	_, list, _ := newTokens(t)
 	if _, err := NewTokenSet(append(list, list[0])); err == nil {
-		t.Error("a token that stands twice in the list was accepted")
+		t.Error("a duplicate token was accepted")
 	}
 }
 
--- a/internal/outputs/cluster/digest.go
+++ b/internal/outputs/cluster/digest.go
@@ -29,7 +29,8 @@
 	surplus         map[string]uint64   // number of attempts that only the other member should hold
 }
 
-// digestCacheTTL is how long digests stay cached after they were computed.
+// digestCacheTTL is the age at which digests for views that are no longer requested are
+// removed from the cache.
 const digestCacheTTL = time.Minute
 
 // digestsFor computes the digests for all other members in one pass over the store. A
--- a/internal/outputs/cluster/limits_test.go
+++ b/internal/outputs/cluster/limits_test.go
@@ -23,7 +23,7 @@
 		now = now.Add(10 * time.Millisecond)
 	}
 	if limit := 10<<20 + 2<<20; admitted > limit || admitted < limit*9/10 {
-		t.Errorf("%d bytes in 10 s at 1 MiB a second", admitted)
+		t.Errorf("%d bytes admitted in 10 s at 1 MiB per second", admitted)
 	}
 	if err := l.reserve("t/blue", "team blue", 1<<20, 100, now); err != nil {
 		t.Errorf("another team: %v", err)
--- a/internal/outputs/cluster/membership_test.go
+++ b/internal/outputs/cluster/membership_test.go
@@ -53,14 +53,14 @@
 	}
 	for deadline := time.Now().Add(10 * time.Second); !allSee(n); time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatal("not all members see all")
+			t.Fatal("not all members have a current view of all members")
 		}
 	}
 	requests.Store(0)
 	time.Sleep(2 * time.Second)
 	// Each member renews 1.5 times and watches at most once per second.
 	if got := requests.Load(); got > 2*n*4 {
-		t.Errorf("%d requests in 2 s of %d idle members", got, n)
+		t.Errorf("%d requests in 2 s from %d idle members", got, n)
 	}
 	if !list[0].IsCurrent() {
 		t.Error("not current while the key-value store answers")
@@ -68,6 +68,6 @@
 	state.SetOutage(true)
 	time.Sleep(2600 * time.Millisecond)
 	if list[0].IsCurrent() || len(list[0].View().Members) != n {
-		t.Errorf("in an outage: current %v, %d members", list[0].IsCurrent(), len(list[0].View().Members))
+		t.Errorf("during an outage: current %v, %d members", list[0].IsCurrent(), len(list[0].View().Members))
 	}
 }
--- a/internal/outputs/cluster/overreplicated.go
+++ b/internal/outputs/cluster/overreplicated.go
@@ -16,8 +16,8 @@
 // Two members with different views could each regard the other as the proper holder
 // and both drop their replicas. Therefore a member that confirms a replica pins it for
 // Options.PinDuration, and a confirmation may be acted on only within
-// confirmationValidity, which is shorter. Pins are not persistent, so a member drops
-// nothing for PinDuration after it has started.
+// confirmationValidity, which is shorter; after that it must be requested again. Pins
+// are not persistent, so a member drops nothing for PinDuration after it has started.
 
 // confirmationValidity is how long a confirmation may be acted on. It must be well
 // below Options.PinDuration, which is a minute by default.
--- a/internal/outputs/cluster/view_test.go
+++ b/internal/outputs/cluster/view_test.go
@@ -57,6 +57,6 @@
 		}
 	}
 	if got := newView(1, 1).Replicas([]byte("x"), factor); len(got) != 1 {
-		t.Errorf("a single member gives the replicas %v", got)
+		t.Errorf("replicas %v in a cluster of one member", got)
 	}
 }
--- a/internal/outputs/daemon/daemon.go
+++ b/internal/outputs/daemon/daemon.go
@@ -1,7 +1,7 @@
 // Package daemon assembles and runs a store of task outputs. Its parts are the disk
 // store, the cluster membership, the node that replicates and repairs attempts, and
 // the server for writers, readers and other stores. [Start] creates them from a
-// [Config] and [Daemon.Close] stops them.
+// [Config] in this order, and [Daemon.Close] stops them in reverse order.
 package daemon
 
 import (
--- a/internal/outputs/daemon/damage_test.go
+++ b/internal/outputs/daemon/damage_test.go
@@ -34,7 +34,7 @@
 		t.Fatal(err)
 	}
 	if n := s0.Node.Store().Stats().Damaged; n == 0 {
-		t.Fatal("the damage was not found")
+		t.Fatal("the damage was not detected")
 	}
 	c.waitFor("the repair", func() bool { return w.completeCopies() == 2 })
 }
@@ -75,7 +75,7 @@
 	c.waitForMembers(2)
 	c.waitFor("the seal on s1", func() bool { return w.completeCopies() == 2 })
 	if err := w.read(s1); err == nil {
-		t.Fatal("the forged content counts as intact")
+		t.Fatal("the forged content was read as intact")
 	}
 	s1.Node.Store().Checkpoint()
 	if err := s1.Node.Scrub(context.Background()); err != nil {
--- a/internal/outputs/daemon/limits_test.go
+++ b/internal/outputs/daemon/limits_test.go
@@ -62,7 +62,7 @@
 	c.startStore("s2", "c") // has free space
 	c.waitForMembers(3)
 	if err := w.appendRandom(c.stores["s0"], randomByte); err != nil {
-		t.Errorf("append with room on a third store: %v", err)
+		t.Errorf("append with free space on a third store: %v", err)
 	}
 }
 
@@ -72,6 +72,6 @@
 	w := c.newWriter(9, 1, "b")
 	err := w.appendUntilRefused(c.stores["s0"], newRandomBytes(), 600)
 	if connect.CodeOf(err) != connect.CodeResourceExhausted || !strings.Contains(err.Error(), "team red") {
-		t.Errorf("append over the team's bound: %v", err)
+		t.Errorf("append over the team's limit: %v", err)
 	}
 }
--- a/internal/outputs/daemon/partition_test.go
+++ b/internal/outputs/daemon/partition_test.go
@@ -80,7 +80,7 @@
 	c.stores["s0"] = d
 	members := d.Node.Membership()
 	if n := len(members.View().Members); n != 2 || members.IsCurrent() {
-		t.Fatalf("knows %d members, want 2; fresh %v, want false", n, members.IsCurrent())
+		t.Fatalf("view has %d members, want 2; current %v, want false", n, members.IsCurrent())
 	}
 	if err := w.append(d, 3); err != nil {
 		t.Fatal(err)
--- a/internal/outputs/daemon/replication_test.go
+++ b/internal/outputs/daemon/replication_test.go
@@ -195,7 +195,7 @@
 			t.Fatal(err)
 		}
 		if w.minCopies != 1 || !s0.Node.Store().IsUnderReplicated(w.key()) {
-			t.Fatalf("acknowledged with %d copies, want 1, or that was not recorded", w.minCopies)
+			t.Fatalf("acknowledged with %d copies, want 1, or the under-replication was not recorded", w.minCopies)
 		}
 	}
 	before := repairedAttempts(t)
@@ -206,7 +206,7 @@
 	// Attempts that are open on s1 but sealed on s0 are not listed as open.
 	page, err := c.listAttempts(s0, "", &pb.ListRequest{Job: testJob, Which: pb.Which_WHICH_OPEN, Limit: 1000})
 	if err != nil || len(page.Attempts) != 21 {
-		t.Errorf("%d attempts are listed as open, not 20 and the chunk's: %v", len(page.GetAttempts()), err)
+		t.Errorf("%d attempts listed as open, want 21 (20 and the one with the chunk): %v", len(page.GetAttempts()), err)
 	}
 	c.setReachable(s0, true)
 	c.waitFor("the repair", func() bool {
@@ -214,8 +214,8 @@
 		return writers[9].completeCopies() == 2
 	})
 	s1.Node.Repair(context.Background(), s1.Node.Membership().View())
-	if n := repairedAttempts(t) - before; n != 6 { // five, and the one of the chunk
-		t.Errorf("copied something of %g attempts, 6 had changed", n)
+	if n := repairedAttempts(t) - before; n != 6 { // the five changed attempts and the one with the chunk
+		t.Errorf("copied data of %g attempts, want 6", n)
 	}
 	for _, w := range writers {
 		if err := w.read(s1); err != nil {
@@ -250,6 +250,6 @@
 			return family.Metric[0].GetCounter().GetValue()
 		}
 	}
-	t.Fatal("no such counter")
+	t.Fatal("the counter of repaired attempts is not registered")
 	return 0
 }
--- a/internal/outputs/daemon/retention_test.go
+++ b/internal/outputs/daemon/retention_test.go
@@ -51,7 +51,7 @@
 	for range 10 {
 		time.Sleep(50 * time.Millisecond)
 		if !allDeleted() {
-			t.Fatal("deleted outputs came back")
+			t.Fatal("deleted outputs were copied back")
 		}
 	}
 	if err := sealed.read(c.anyStore()); connect.CodeOf(errors.Unwrap(err)) != connect.CodeNotFound {
@@ -78,7 +78,7 @@
 	for range 20 {
 		time.Sleep(50 * time.Millisecond)
 		if isHeldBy("s0") || !isHeldBy("s1") {
-			t.Fatal("came back from the other store, or was deleted there too")
+			t.Fatal("copied back from the other store, or deleted there too")
 		}
 	}
 }
--- a/internal/outputs/serve/pages_test.go
+++ b/internal/outputs/serve/pages_test.go
@@ -169,10 +169,10 @@
 	}
 	connectErr, _ := err.(*connect.Error)
 	if connectErr == nil || connectErr.Code() != connect.CodeUnavailable || connectErr.Meta().Get("Retry-After") != "1" {
-		t.Errorf("a second follower: %v", err)
+		t.Errorf("a second read with Follow: %v", err)
 	}
 	if code, _, _ := httpGet(t, d.URL+"/jobs/wk-000008/0/log"); code != 200 {
-		t.Errorf("a read beside a follower: %d", code)
+		t.Errorf("a read during a follow: %d", code)
 	}
 	cancel()
 	var entries []*pb.Entry
--- a/internal/outputs/settings/xml.go
+++ b/internal/outputs/settings/xml.go
@@ -106,7 +106,7 @@
 	return set, nil
 }
 
-// number is an element with a numeric value.
+// numberElement is an element with a numeric value.
 type numberElement struct {
 	field    string
 	value    *float64 // nil: absent
