--- a/internal/outputs/cluster/view_test.go
+++ b/internal/outputs/cluster/view_test.go
@@ -28,7 +28,7 @@
 
 // Replicas are in different zones, members hold about the same number of them, and a
 // member that leaves moves only the routes that it held.
-func TestViewReplicasSpreadZonesAndMoveLittle(t *testing.T) {
+func TestReplicaPlacementSpreadsZonesAndMovesFewRoutes(t *testing.T) {
 	const routes, factor = 20000, 2
 	v := newView(9, 3)
 	removed := v.Members[4].Name
@@ -57,6 +57,6 @@
 		}
 	}
 	if got := newView(1, 1).Replicas([]byte("x"), factor); len(got) != 1 {
-		t.Errorf("a single member gives the replicas %v", got)
+		t.Errorf("replicas %v in a cluster of one member", got)
 	}
 }
--- a/internal/outputs/daemon/limits_test.go
+++ b/internal/outputs/daemon/limits_test.go
@@ -62,16 +62,16 @@
 	c.startStore("s2", "c") // has free space
 	c.waitForMembers(3)
 	if err := w.appendRandom(c.stores["s0"], randomByte); err != nil {
-		t.Errorf("append with room on a third store: %v", err)
+		t.Errorf("append with free space on a third store: %v", err)
 	}
 }
 
-func TestTeamOverItsBoundIsRefused(t *testing.T) {
+func TestTeamOverByteLimitIsRefused(t *testing.T) {
 	c := newTestCluster(t, func(o *settings.Outputs) { o.TeamBytes = 3 << 20 })
 	c.startStores("c")
 	w := c.newWriter(9, 1, "b")
 	err := w.appendUntilRefused(c.stores["s0"], newRandomBytes(), 600)
 	if connect.CodeOf(err) != connect.CodeResourceExhausted || !strings.Contains(err.Error(), "team red") {
-		t.Errorf("append over the team's bound: %v", err)
+		t.Errorf("append over the team's limit: %v", err)
 	}
 }
--- a/internal/outputs/daemon/partition_test.go
+++ b/internal/outputs/daemon/partition_test.go
@@ -80,7 +80,7 @@
 	c.stores["s0"] = d
 	members := d.Node.Membership()
 	if n := len(members.View().Members); n != 2 || members.IsCurrent() {
-		t.Fatalf("knows %d members, want 2; fresh %v, want false", n, members.IsCurrent())
+		t.Fatalf("view has %d members, want 2; current %v, want false", n, members.IsCurrent())
 	}
 	if err := w.append(d, 3); err != nil {
 		t.Fatal(err)
@@ -105,7 +105,7 @@
 
 // A replica that a store holds in place of an unreachable owner is dropped after all
 // owners hold it, and not before. An owner keeps the replica that it confirmed.
-func TestHintedCopyDroppedOnceOwnersHaveIt(t *testing.T) {
+func TestHintedReplicaDroppedOnceOwnersHaveIt(t *testing.T) {
 	c := newTestCluster(t, nil)
 	c.startStores("0", "1", "2")
 	w := c.newWriter(0, 1, "k")
