--- a/internal/clusterstate/doc.go
+++ b/internal/clusterstate/doc.go
@@ -6,7 +6,7 @@
 //
 // The replica updates it by Apply, which takes complete transactions, so that the copy
 // always reflects the store as of one revision, and returns the changes to which the
-// controller may have to react. Two methods add data that the controller knows before its
+// controller may have to react. Two methods add data that the controller has before its
 // replica does: AddCompletionChunks and SetMachineTypes. The controller also derives the
 // DependencyState of jobs, which depends on the job ends that it reads.
 //
--- a/internal/clusterstate/schema.go
+++ b/internal/clusterstate/schema.go
@@ -24,7 +24,7 @@
 }
 
 // DependenciesEnabled reports whether jobs may depend on others, and whether the
-// ends of jobs may be written with what dependents need to know.
+// ends of jobs may be written with the data that dependents need.
 func (r *Records) DependenciesEnabled() bool {
 	return r.isEnabled(storage.SchemaChunked)
 }
@@ -34,8 +34,8 @@
 	return r.isEnabled(storage.SchemaHeartbeatProxies)
 }
 
-// ShardCapacityEnabled reports whether holders may tell each other what their shards
-// have machines for, and where they have room.
+// ShardCapacityEnabled reports whether holders may send each other the requests for which
+// their shards have machines, and the free capacity of their shards.
 func (r *Records) ShardCapacityEnabled() bool {
 	return r.isEnabled(storage.SchemaShardCapacity)
 }
--- a/internal/config/cancel_bound.go
+++ b/internal/config/cancel_bound.go
@@ -20,7 +20,7 @@
 
 // CancelBound returns the terms of the maximum time from the commit of a cancellation
 // to the key-value store, which precedes the response to the user, until no task of the
-// job can be on a machine any more. The bound holds under any failure and does not
+// job can still be on a machine. The bound holds under any failure and does not
 // depend on a stop command reaching the task (docs/safety.md, "Cancellations").
 //
 // A change that lets a controller act, or a worker keep its tasks, for longer must add a
@@ -68,7 +68,7 @@
 }
 
 // CheckCancelBound checks that all tasks of a cancelled job end within workers.cancel_s
-// even if the key-value store, and with it every controller that knows of the
+// even if the key-value store, and with it every controller that has read the
 // cancellation, is unreachable for longer. If the bound is exceeded, the error names
 // file and field as the invalid setting.
 func (s *Settings) CheckCancelBound(file, field string, op Operator) error {
--- a/internal/dispatch/exchange.go
+++ b/internal/dispatch/exchange.go
@@ -16,7 +16,7 @@
 	Fresh                      // newer than all previous messages
 )
 
-// Exchange tracks the messages to and from one worker. K identifies tasks. It is
+// Exchange tracks the messages sent to and received from one worker. K identifies tasks. It is
 // not safe for concurrent use.
 type Exchange[K comparable] struct {
 	session         uint64 // the worker's newest
@@ -74,8 +74,8 @@
 	return true
 }
 
-// ForgetUnanswered discards the unanswered starts. It is called when they can have no
-// effect any more, because the worker rejects them or no longer exists.
+// ForgetUnanswered discards the unanswered starts. It is called when they can no
+// longer have an effect, because the worker rejects them or no longer exists.
 func (x *Exchange[K]) ForgetUnanswered() { clear(x.unanswered) }
 
 // InFlight reports whether a direct message is in flight.
@@ -129,7 +129,7 @@
 	x.unanswered[task] = unansweredStart{attempt, s.message}
 }
 
-// CanClear reports whether the worker may be told to clear an ended attempt.
+// CanClear reports whether the command to clear an ended attempt may be sent to the worker.
 func (x *Exchange[K]) CanClear(task K, attempt uint64, disabled DisabledGuards) bool {
 	s, found := x.unanswered[task]
 	return !found || s.attempt != attempt || disabled.has(WithoutDeferredClear)
--- a/internal/dispatch/exchange_test.go
+++ b/internal/dispatch/exchange_test.go
@@ -6,7 +6,7 @@
 	"pgregory.net/rapid"
 )
 
-// Regardless of late, lost and abandoned messages, every attempt that a message in flight
+// Regardless of delayed, lost and abandoned messages, every attempt that a message in flight
 // may start is one that its holder considers placed.
 func TestNoStartArrivesUnexpectedly(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
--- a/internal/dispatch/guards.go
+++ b/internal/dispatch/guards.go
@@ -8,7 +8,7 @@
 const (
 	WithoutBinding         DisabledGuards = 1 << iota // a start without a response binds its task
 	WithoutDeferredClear                              // an attempt is not cleared while a copy of its start may arrive
-	WithoutStartBeforeStop                            // the stop of an attempt that the worker may not know is sent after its start
+	WithoutStartBeforeStop                            // the stop of an attempt that the worker may not have received is sent after its start
 	WithoutResponseOrder                              // a response to a direct message doesn't determine the outcome of the response to a heartbeat
 )
 
--- a/internal/dispatch/limits.go
+++ b/internal/dispatch/limits.go
@@ -58,7 +58,7 @@
 const maxDoublings = 5
 
 // Backoff returns how long a worker gets no direct messages after the given number of
-// consecutive failures. Responses to its heartbeats carry its commands meanwhile. jitter,
+// consecutive failures. Its commands are then sent in responses to its heartbeats. jitter,
 // from 0 to 1, prevents workers that became unreachable simultaneously from being retried
 // simultaneously.
 func (l Limits) Backoff(failures int, jitter float64) time.Duration {
--- a/internal/dispatch/start.go
+++ b/internal/dispatch/start.go
@@ -10,7 +10,7 @@
 }
 
 // IsSent reports whether the start has been sent in any way. If so, only a heartbeat of the
-// worker or the expiry of its lease can show that it has no effect.
+// worker or the expiry of its lease can prove that it has no effect.
 func (s *Start) IsSent() bool { return s.inResponse || s.reported || s.unanswered }
 
 // IsKnown reports whether the worker is known to have, or to have had, the
--- a/internal/emulator/fleet.go
+++ b/internal/emulator/fleet.go
@@ -77,7 +77,7 @@
 }
 
 // ServeHTTP implements the cloud API. It also accepts job descriptions at /describe, which
-// tell workers what the tasks of a job run.
+// tell workers which commands the tasks of a job run.
 func (f *Fleet) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	body := readBody(r)
 	f.mu.Lock()
--- a/internal/failuredetector/isolation.go
+++ b/internal/failuredetector/isolation.go
@@ -37,7 +37,7 @@
 	// is long enough for each of several isolated controllers to do so once.
 	handoverBackoff = 8 * minStepDownBackoff
 	// maxTick bounds the silence that one tick adds: a suspended or CPU-starved
-	// process receives no heartbeats, which does not show that workers are silent.
+	// process receives no heartbeats, which does not imply that workers are silent.
 	maxTick = 500 * time.Millisecond
 )
 
@@ -52,7 +52,7 @@
 }
 
 // RecordRelayedHeartbeat records that another controller relayed a heartbeat. This
-// does not show that workers reach this controller, but a worker whose heartbeat was
+// does not imply that workers reach this controller, but a worker whose heartbeat was
 // relayed contacts it again only with the next heartbeat. The silence is therefore
 // reset, but only once, so that an isolated controller still steps down.
 func (d *IsolationDetector) RecordRelayedHeartbeat() {
@@ -63,7 +63,7 @@
 
 // Tick records elapsed time in which this process could receive heartbeats. The first
 // call after TickStoreUnreachable resets the silence, once until a heartbeat is
-// received: workers that switched to other controllers meanwhile are returning.
+// received: workers that switched to other controllers during the outage are returning.
 func (d *IsolationDetector) Tick(now time.Time) {
 	if d.storeUnreachable && !d.resetByStore {
 		d.silence, d.resetByStore = 0, true
@@ -76,7 +76,7 @@
 }
 
 // TickStoreUnreachable records elapsed time in which the key-value store did not answer
-// either. A failure that affects both does not show that workers reach other
+// either. A failure that affects both does not imply that workers reach other
 // controllers, and without the store no machine can be handed over.
 func (d *IsolationDetector) TickStoreUnreachable(now time.Time) {
 	d.storeUnreachable, d.lastTick = true, now
--- a/internal/failuredetector/view.go
+++ b/internal/failuredetector/view.go
@@ -104,6 +104,6 @@
 const machinesPerProbe = 64
 
 // MaxProbes returns how many replacement machines a controller with an inconclusive view
-// may have booting. A heartbeat from one of them shows that the silent machines have
+// may have booting. A heartbeat from one of them implies that the silent machines have
 // failed, and the view becomes conclusive.
 func MaxProbes(machines int) int { return 1 + machines/machinesPerProbe }
--- a/internal/heartbeatproxy/model_test.go
+++ b/internal/heartbeatproxy/model_test.go
@@ -101,7 +101,7 @@
 	holderCopy, proxyCopy int    // the ticks of their copies of the records
 	lastAnswered          int    // tick of the last heartbeat answered by the holder, or of a known delegation record
 	lost                  bool   // the holder has declared the task lost
-	startUnconfirmed      bool   // the holder doesn't know the outcome of its start
+	startUnconfirmed      bool   // the holder has not received the outcome of its start
 	startToken            uint64 // under which the start was last sent
 
 	delegation *Delegation
@@ -390,7 +390,7 @@
 	}
 }
 
-// answerAsHolder makes the holder answer a heartbeat, which also tells it the outcome of
+// answerAsHolder makes the holder answer a heartbeat, which also reports the outcome of
 // its start. The response carries an unconfirmed start again, so that a late copy has no
 // effect, and its stop if the job has ended.
 func (w *proxyModel) answerAsHolder() {
--- a/internal/outputs/attempt.go
+++ b/internal/outputs/attempt.go
@@ -22,7 +22,7 @@
 )
 
 // RunFromSecret returns the run ID of a writer, which is derived from its secret. Only a
-// client that knows the secret can append to attempts with this run ID, so stores don't
+// client with the secret can append to attempts with this run ID, so stores don't
 // have to record which client owns an attempt.
 func RunFromSecret(secret []byte) []byte {
 	sum := sha256.Sum256(secret)
--- a/internal/outputs/capture/admission.go
+++ b/internal/outputs/capture/admission.go
@@ -161,7 +161,7 @@
 }
 
 // queue adds a record to the queue of the spool and reports whether that succeeded.
-// While the spool is full, it delays the task as far as the delay budget allows.
+// While the spool is full, it delays the task within the delay budget.
 func (a *admission) queue(r *pb.Record) bool {
 	for {
 		err := a.spool.Add(r)
--- a/internal/outputs/capture/artefacts.go
+++ b/internal/outputs/capture/artefacts.go
@@ -134,7 +134,7 @@
 }
 
 // copyFile copies a file and hashes its chunks. The copy of a file that changes
-// concurrently has the content that was read.
+// concurrently contains the data that was read.
 func (c *collector) copyFile(name, copyName string) (f *collectedFile, err error) {
 	// O_NONBLOCK, because opening a named pipe would otherwise block until it has a writer.
 	in, err := c.root.OpenFile(name, os.O_RDONLY|syscall.O_NONBLOCK, 0)
--- a/internal/outputs/client/stream_test.go
+++ b/internal/outputs/client/stream_test.go
@@ -19,8 +19,8 @@
 
 var errCutOff = connect.NewError(connect.CodeUnavailable, errors.New("connection cut off"))
 
-// fakeStore serves one file and the records of one attempt. Its first streams, as many
-// as breaks says, fail after one message.
+// fakeStore serves one file and the records of one attempt. Its first streams, whose
+// number is breaks, fail after one message.
 type fakeStore struct {
 	outputsv1connect.UnimplementedReaderServiceHandler
 	content []byte
--- a/internal/outputs/cluster/node.go
+++ b/internal/outputs/cluster/node.go
@@ -135,7 +135,7 @@
 	callCtx, cancel := context.WithTimeout(ctx, n.options.CallTimeout)
 	defer cancel()
 	err := send(callCtx, n.peer(m))
-	if ctx.Err() == nil || err == nil { // a canceled call says nothing about the peer's health
+	if ctx.Err() == nil || err == nil { // a canceled call is no evidence of the peer's health
 		n.health.record(m, err)
 	}
 	return err
--- a/internal/outputs/cluster/overreplicated.go
+++ b/internal/outputs/cluster/overreplicated.go
@@ -123,7 +123,7 @@
 	return confirmations
 }
 
-// Confirm handles a request of a member that wants to drop its replicas. It confirms
+// Confirm handles a request of a member to drop its replicas. It confirms
 // each replica that this member should hold and that covers the other's, and pins it
 // for Options.PinDuration.
 func (n *Node) Confirm(req *pb.ConfirmRequest) *pb.ConfirmResponse {
--- a/internal/outputs/cluster/read.go
+++ b/internal/outputs/cluster/read.go
@@ -42,7 +42,7 @@
 	stalledSince time.Time
 }
 
-// errReaderDisconnected means that the client accepts no more messages.
+// errReaderDisconnected means that the client no longer accepts messages.
 var errReaderDisconnected = errors.New("the reader has gone")
 
 // Read passes an attempt's records to emit, in order and each once. It returns at the
@@ -211,7 +211,7 @@
 	return r.send(&pb.ReadResponse{Hole: hole, Next: r.next})
 }
 
-// sendEnd sends the last message, which says whether all records were read and match
+// sendEnd sends the last message, which reports whether all records were read and match
 // the seal.
 func (r *attemptReader) sendEnd(ctx context.Context, list []replica) error {
 	intact := false
--- a/internal/outputs/daemon/config.go
+++ b/internal/outputs/daemon/config.go
@@ -27,7 +27,7 @@
 	Settings  settings.Outputs
 
 	// KeyValueStore is where the members register; nil: single-member cluster.
-	// StatePollInterval is the time between two reads of it.
+	// WatchPause returns the pause between two watch requests to it.
 	KeyValueStore cluster.KeyValueStore
 	WatchPause    func(stores int) time.Duration
 
@@ -71,7 +71,7 @@
 }
 
 const (
-	// minWatchPause and maxStatePoll limit the pause between two watch requests:
+	// minWatchPause and maxWatchPause limit the pause between two watch requests:
 	// shorter pauses only cost requests, and longer ones delay the discovery of members.
 	minWatchPause = time.Second
 	maxWatchPause = 30 * time.Second
--- a/internal/outputs/disk/attempt.go
+++ b/internal/outputs/disk/attempt.go
@@ -111,7 +111,7 @@
 	return a.watcher
 }
 
-// ClearUnderReplicated records that an attempt has its full number of replicas.
+// ClearUnderReplicated records that an attempt has the configured number of replicas.
 func (s *Store) ClearUnderReplicated(key []byte) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/outputs/disk/checkpoint_test.go
+++ b/internal/outputs/disk/checkpoint_test.go
@@ -25,12 +25,12 @@
 }
 
 // A reader finds a block damaged while a checkpoint is writing it, and other blocks arrive
-// meanwhile. The damaged block can be written again, and the new blocks reach the index.
-// Cutting the list of new blocks by the number that the checkpoint had taken crashed a
-// process once, and would have left a block that arrived meanwhile out of the index.
+// during the checkpoint. The damaged block can be written again, and the new blocks reach the index.
+// Truncating the list of new blocks by the number that the checkpoint had taken crashed a
+// process once, and would have omitted a block that arrived later from the index.
 func TestDamageDuringCheckpoint(t *testing.T) {
 	for _, late := range []uint64{0, 2} {
-		t.Run(fmt.Sprintf("%d blocks meanwhile", late), func(t *testing.T) {
+		t.Run(fmt.Sprintf("%d concurrent blocks", late), func(t *testing.T) {
 			clock := time.Unix(1e6, 0)
 			fs := &hookFS{}
 			s := openTestStore(t, t.TempDir(), fs, &clock)
--- a/internal/outputs/disk/chunks.go
+++ b/internal/outputs/disk/chunks.go
@@ -13,7 +13,7 @@
 )
 
 // maxRelocationRetries is how often a read is retried because compaction has moved the
-// entry meanwhile.
+// entry.
 const maxRelocationRetries = 3
 
 // MissingChunks returns which of a team's chunks are not stored. Chunks that are stored
@@ -181,7 +181,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, o := range orphans {
-		// A chunk that was requested meanwhile is in memory and is added to the index
+		// A chunk that has been requested since is in memory and is added to the index
 		// again by the next checkpoint; no segment is removed before that.
 		if s.newChunks[string(o.key)] == nil {
 			s.releasePlace(o.place)
--- a/internal/outputs/disk/compact.go
+++ b/internal/outputs/disk/compact.go
@@ -67,7 +67,7 @@
 	return true, nil
 }
 
-// compactionInputs selects the segments worth compacting: logs that ended at least
+// compactionInputs selects the segments to compact: logs that ended at least
 // Options.CompactionDelay ago, and compacted segments with a high ratio of dead bytes.
 func (s *Store) compactionInputs() []*segmentInfo {
 	s.indexMu.Lock()
@@ -93,7 +93,7 @@
 		} else {
 			// Nothing is appended to a log that has ended, but the index's position stays
 			// at its end until the next log is started. Logs are compacted in order,
-			// because the base of the next log tells which entries of a log are invalid.
+			// because the base of the next log determines which entries of a log are invalid.
 			hasEnded := !g.endedAt.IsZero() && now.Sub(g.endedAt) >= s.options.CompactionDelay
 			logsInOrder = logsInOrder && hasEnded && id < indexed
 			if !logsInOrder {
--- a/internal/outputs/disk/compact_test.go
+++ b/internal/outputs/disk/compact_test.go
@@ -10,7 +10,7 @@
 )
 
 // A reader that reads while compaction and retention run sees all records, or an error
-// that the attempt is gone.
+// that the attempt was deleted.
 func TestReadDuringCompaction(t *testing.T) {
 	const records = 120
 	clock := time.Unix(1e6, 0)
--- a/internal/outputs/disk/compactinstall.go
+++ b/internal/outputs/disk/compactinstall.go
@@ -53,8 +53,8 @@
 	return nil
 }
 
-// relocateChunk updates the place of a chunk in the index. A chunk that was removed
-// meanwhile is skipped.
+// relocateChunk updates the place of a chunk in the index. A chunk that has been removed
+// is skipped.
 func (r relocation) relocateChunk(tx *bbolt.Tx) error {
 	chunks, key := tx.Bucket(bucketChunks), []byte(r.old[0].key)
 	indexed := new(pb.Place)
@@ -69,7 +69,7 @@
 }
 
 // relocateBlocks replaces blocks in the index by the block that they were joined into,
-// unless the attempt was dropped meanwhile.
+// unless the attempt has been dropped.
 func (r relocation) relocateBlocks(tx *bbolt.Tx) error {
 	state := new(pb.AttemptState)
 	if !getMessage(tx.Bucket(bucketAttempts), []byte(r.old[0].key), state) || state.Id != r.attemptID {
@@ -105,7 +105,7 @@
 		s.segmentBytes -= min(s.segmentBytes, g.size)
 		before += g.size
 	}
-	// A chunk that was requested meanwhile is in memory with its old place.
+	// A chunk requested during the compaction is in memory with its old place.
 	moved := map[string]*pb.Place{}
 	for _, r := range c.relocations {
 		if r.isChunk {
--- a/internal/outputs/disk/held.go
+++ b/internal/outputs/disk/held.go
@@ -35,8 +35,8 @@
 	return proto.CloneOf(a.state)
 }
 
-// setWhole records that all chunks of an attempt are stored, unless it was dropped and
-// created again meanwhile.
+// setWhole records that all chunks of an attempt are stored, unless it has been dropped and
+// created again.
 func (s *Store) setWhole(key []byte, id uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/outputs/disk/put.go
+++ b/internal/outputs/disk/put.go
@@ -69,7 +69,7 @@
 }
 
 // checkEntry validates an entry before it is queued. Only the tally of an unpacked block
-// is kept, so that a queued request takes no more memory than was received.
+// is kept, so that a queued request uses at most as much memory as was received.
 func (s *Store) checkEntry(ctx context.Context, e *pb.Entry) (putItem, error) {
 	item := putItem{entry: e}
 	var err error
--- a/internal/outputs/disk/scrub.go
+++ b/internal/outputs/disk/scrub.go
@@ -116,8 +116,8 @@
 	}
 }
 
-// read reads an entry. The entry is nil if it is damaged, or if compaction has moved it
-// meanwhile; compaction has then read and verified it.
+// read reads an entry. The entry is nil if it is damaged, or if compaction has moved it;
+// compaction has then read and verified it.
 func (p *scrub) read(ctx context.Context, place *pb.Place) (e *pb.Entry, damaged bool, err error) {
 	if err := p.limit(ctx, int(place.Length)); err != nil {
 		return nil, false, err
--- a/internal/outputs/disk/segment.go
+++ b/internal/outputs/disk/segment.go
@@ -170,8 +170,7 @@
 	return nil
 }
 
-// readEntry reads an entry. It returns ErrNotFound if compaction has removed its segment
-// meanwhile.
+// readEntry reads an entry. It returns ErrNotFound if compaction has removed its segment.
 func (s *Store) readEntry(p *pb.Place) (*pb.Entry, error) {
 	g := s.acquireSegment(p.Segment)
 	if g == nil {
--- a/internal/outputs/serve/peer.go
+++ b/internal/outputs/serve/peer.go
@@ -97,7 +97,7 @@
 	return handlePeer(ctx, func() (*pb.BucketResponse, error) { return p.node.Bucket(r.Msg), nil })
 }
 
-// Confirm confirms replicas to a peer that wants to drop its own.
+// Confirm confirms replicas to a peer that is about to drop its own.
 func (p *peerService) Confirm(ctx context.Context, r *connect.Request[pb.ConfirmRequest]) (*connect.Response[pb.ConfirmResponse], error) {
 	return handlePeer(ctx, func() (*pb.ConfirmResponse, error) { return p.node.Confirm(r.Msg), nil })
 }
--- a/internal/outputs/spool/spool.go
+++ b/internal/outputs/spool/spool.go
@@ -178,7 +178,7 @@
 func (s *Spool) path(name string) string { return filepath.Join(s.dir, name) }
 
 // Read returns records from a sequence number until their size reaches maxBytes. It
-// returns none if there are no more yet.
+// returns none if none have been written there yet.
 func (s *Spool) Read(from uint64, maxBytes int) ([]*pb.Record, error) {
 	f, end, size := s.fileOf(from)
 	if f == nil {
--- a/internal/policy/shortage_test.go
+++ b/internal/policy/shortage_test.go
@@ -40,7 +40,7 @@
 	shortageSteps      = 180
 	shortageStep       = 5.0 // seconds
 	shortageDipSteps   = 12  // a minute
-	shortageDip        = 0.7 // fraction of the capacity that remains meanwhile
+	shortageDip        = 0.7 // fraction of the capacity that remains during the dip
 	shortageMinRunTime = 25  // seconds that a job takes with maxCores
 )
 
--- a/internal/protocol/doc.go
+++ b/internal/protocol/doc.go
@@ -67,6 +67,6 @@
 // Messages between controllers are not part of this protocol; see packages leader
 // and transport.
 //
-// Durations are in seconds and sizes in GB, as on the wire, unless a name says
+// Durations are in seconds and sizes in GB, as on the wire, unless a name specifies
 // otherwise.
 package protocol
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -10,7 +10,7 @@
 	// and the share is not rounded.
 	TaskSize storage.Resources
 	// Startable is the part of Requested for which the shard has machines, including Used;
-	// nil means all of it, as far as is known.
+	// nil means that it is unknown and assumed to be all of it.
 	Startable *storage.Resources
 }
 
--- a/internal/session/doc.go
+++ b/internal/session/doc.go
@@ -16,7 +16,7 @@
 //	for {
 //		step := s.Next() // the next request, and its earliest time
 //		s.RecordSent(step, now)
-//		result := execute(step) // the caller talks to the key-value store
+//		result := execute(step) // the caller sends it to the key-value store
 //		s.HandleResult(step, result, now)
 //	}
 //
--- a/internal/session/history_test.go
+++ b/internal/session/history_test.go
@@ -11,7 +11,7 @@
 	}{
 		{"nothing observed", nil, nil, []uint64{0, 1}},
 		{"current session", []uint64{1}, nil, []uint64{0, 1, 2}},
-		{"key gone", []uint64{1, 0}, []uint64{1}, []uint64{0, 2}},
+		{"key deleted", []uint64{1, 0}, []uint64{1}, []uint64{0, 2}},
 		{"replaced", []uint64{1, 2}, []uint64{1}, []uint64{2}},
 		{"current again", []uint64{1, 2, 1}, []uint64{2}, []uint64{1}},
 	} {
--- a/internal/session/model_test.go
+++ b/internal/session/model_test.go
@@ -172,7 +172,7 @@
 	return out
 }
 
-// converges reports whether the process opens a visible session if no more faults occur
+// converges reports whether the process opens a visible session if no further faults occur
 // and leases that are not renewed expire.
 func (m *sessionModel) converges() bool {
 	c := m.clone()
--- a/internal/session/session.go
+++ b/internal/session/session.go
@@ -113,7 +113,7 @@
 }
 
 // HandleResult records the result of a step returned by Next. It ignores results of a
-// session that has been lost meanwhile.
+// session that has been lost since.
 func (s *Session) HandleResult(step Step, r Result, now time.Time) {
 	switch step.Operation {
 	case ReadKey:
--- a/internal/storage/doc.go
+++ b/internal/storage/doc.go
@@ -63,7 +63,7 @@
 // # Client, replica and read index
 //
 // A [Client] sends reads and transactions within this controller's share of the
-// store's rate limits; lease renewals and watches bypass that budget. Its errors say
+// store's rate limits; lease renewals and watches bypass that budget. Its errors report
 // whether a transaction may have been applied, see [ErrUnknown].
 //
 // A [Replica] reads all live records, page by page, as of one revision. It then applies
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -13,7 +13,7 @@
 )
 
 // Timeouts for receiving a request. They match the client timeouts, 4 s for workers and
-// 5 s for users, after which nobody waits for a response.
+// 5 s for users, after which no client waits for a response.
 const (
 	readHeaderTimeout = 4 * time.Second
 	readTimeout       = 5 * time.Second
--- a/internal/transport/worker_client_test.go
+++ b/internal/transport/worker_client_test.go
@@ -102,7 +102,7 @@
 			t.Errorf("%+v", got)
 		}
 	})
-	t.Run("nobody listens", func(t *testing.T) {
+	t.Run("connection refused", func(t *testing.T) {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
