--- a/cmd/outputsbench/kills.go
+++ b/cmd/outputsbench/kills.go
@@ -39,7 +39,7 @@
 	if err != nil {
 		return err
 	}
-	err = f.killInTurn(o.Kills, &ackedBlocks)
+	err = f.restartStoresInTurn(o.Kills, &ackedBlocks)
 	stopWriters()
 	if err != nil {
 		return err
@@ -99,8 +99,8 @@
 	return w.append(ctx, addr, records)
 }
 
-// killInTurn kills and restarts the stores in turn.
-func (f *storeCluster) killInTurn(kills int, ackedBlocks *atomic.Int64) error {
+// restartStoresInTurn kills and restarts the stores in turn.
+func (f *storeCluster) restartStoresInTurn(kills int, ackedBlocks *atomic.Int64) error {
 	rnd := rand.New(rand.NewPCG(3, 3))
 	start := time.Now()
 	for i := range kills {
--- a/internal/failuredetector/isolation.go
+++ b/internal/failuredetector/isolation.go
@@ -97,8 +97,8 @@
 }
 
 // ShouldStepDown reports whether the controller should release its machines to
-// others. heard and unheard count the machines that have and have not sent it a
-// heartbeat since it acquired them; overdue counts the unheard machines that it has
+// others. reported and unreported count the machines that have and have not sent it a
+// heartbeat since it acquired them; overdue counts the unreported machines that it has
 // held for longer than Timing.SuspectAfter.
 //
 // If no heartbeat was received for that long, one of the following conditions
@@ -109,24 +109,24 @@
 //     controller is still isolated and hands over newly granted machines at once;
 //   - overdue machines, at most once per handoverBackoff: among several isolated
 //     controllers the leader may have chosen another isolated one.
-func (d *IsolationDetector) ShouldStepDown(heard, unheard, overdue int, now time.Time) bool {
+func (d *IsolationDetector) ShouldStepDown(reported, unreported, overdue int, now time.Time) bool {
 	if now.Before(d.nextStepDownAt) || d.silence <= d.timing.SuspectAfter() {
 		return false
 	}
 	switch {
-	case heard >= minCorrelatedFailure:
+	case reported >= minCorrelatedFailure:
 		return true
-	case d.stillIsolated && heard+unheard >= minCorrelatedFailure:
+	case d.stillIsolated && reported+unreported >= minCorrelatedFailure:
 		return true
 	default:
 		return overdue >= minCorrelatedFailure && !now.Before(d.nextHandoverAt)
 	}
 }
 
-// RecordStepDown records that the controller steps down. heard reports whether any of
+// RecordStepDown records that the controller steps down. anyReported is whether any of
 // its machines had sent it a heartbeat.
-func (d *IsolationDetector) RecordStepDown(heard bool, now time.Time) {
-	if !heard {
+func (d *IsolationDetector) RecordStepDown(anyReported bool, now time.Time) {
+	if !anyReported {
 		d.nextHandoverAt = now.Add(handoverBackoff)
 	}
 	d.nextStepDownAt = now.Add(d.backoff)
--- a/internal/outputs/daemon/config.go
+++ b/internal/outputs/daemon/config.go
@@ -83,9 +83,9 @@
 func NewKeyValueStoreClient(platform *config.Settings, share float64) (cluster.KeyValueStore, func(stores int) time.Duration) {
 	readRate := platform.Deployment.State.RPS * share
 	writeRate := platform.StoreLimits().WriteRPS * share
-	pollInterval := func(stores int) time.Duration {
-		interval := storage.WatchPause(readRate, max(1, stores))
-		return min(max(interval, minWatchPause), maxWatchPause)
+	watchPause := func(stores int) time.Duration {
+		pause := storage.WatchPause(readRate, max(1, stores))
+		return min(max(pause, minWatchPause), maxWatchPause)
 	}
-	return storage.NewClient(platform.Services.State, readRate, writeRate, 1), pollInterval
+	return storage.NewClient(platform.Services.State, readRate, writeRate, 1), watchPause
 }
--- a/internal/quota/model_test.go
+++ b/internal/quota/model_test.go
@@ -120,8 +120,8 @@
 		excess := shares[i].Cores - withMachines(demands[i]).Requested.Cores
 		for k, d := range demands {
 			startable := withMachines(d)
-			lacks := d.TaskSize.Cores > 0 && requestsTask(startable, startableTasks(startable, shares[k], quota))
-			if i != k && lacks && excess >= d.TaskSize.Cores-tolerance {
+			isMissingQuota := d.TaskSize.Cores > 0 && requestsTask(startable, startableTasks(startable, shares[k], quota))
+			if i != k && isMissingQuota && excess >= d.TaskSize.Cores-tolerance {
 				return i, k, true
 			}
 		}
