--- a/internal/dispatch/doc.go
+++ b/internal/dispatch/doc.go
@@ -20,7 +20,7 @@
 // was sent directly therefore binds its task to the worker until one of these is known:
 //
 //   - The message was answered, or never sent.
-//   - The worker has begun a newer session or has seen a higher token: it rejects the
+//   - The worker has begun a newer session or has received a higher token: it rejects the
 //     message from then on.
 //   - The worker has the attempt: repeating its start has no effect. To reach this
 //     state, the next response carries the same start again. It lasts until the worker
--- a/internal/heartbeatproxy/delegation.go
+++ b/internal/heartbeatproxy/delegation.go
@@ -28,7 +28,7 @@
 // after a proxy has answered the machine's heartbeat.
 type Fence struct {
 	// Token is the fencing token issued to the machine for this purpose; 0 if none was
-	// issued. A worker that has seen it rejects messages with older tokens.
+	// issued. A worker that has received it rejects messages with older tokens.
 	Token uint64
 	// Starts are the attempts whose starts were sent before. One of them may reach the
 	// worker between a heartbeat and its response, so every response must stop those
--- a/internal/heartbeatproxy/model_test.go
+++ b/internal/heartbeatproxy/model_test.go
@@ -68,7 +68,7 @@
 type relayedHeartbeat struct {
 	sequence uint64
 	sentAt   int    // by the worker
-	token    uint64 // the newest that the worker had seen
+	token    uint64 // the newest that the worker had received
 	lists    bool   // the second task is on the worker
 }
 
@@ -108,7 +108,7 @@
 	kept       keptHeartbeat // by the proxy
 
 	leaseExpiresAt int            // the worker's
-	workerToken    uint64         // the newest that it has seen
+	workerToken    uint64         // the newest that it has received
 	response       workerResponse // in flight to the worker; zero sentAt: none
 	lateStarts     []uint64       // tokens of the starts in flight to the worker
 	sequence       uint64         // of its newest heartbeat
--- a/internal/outputs/cluster/health.go
+++ b/internal/outputs/cluster/health.go
@@ -9,7 +9,7 @@
 
 // Requests to a peer that does not answer are suspended for a time that doubles with
 // each failure between these bounds. The lower bound outlasts a short pause of the
-// peer; the upper bound limits how late its recovery is noticed.
+// peer; the upper bound limits how late its recovery is detected.
 const (
 	minPeerBackoff = 500 * time.Millisecond
 	maxPeerBackoff = 5 * time.Second
--- a/internal/outputs/disk/checkpoint_test.go
+++ b/internal/outputs/disk/checkpoint_test.go
@@ -25,7 +25,8 @@
 }
 
 // A reader finds a block damaged while a checkpoint is writing it, and other blocks arrive
-// during the checkpoint. The damaged block can be written again, and the new blocks reach the index.
+// during the checkpoint. The damaged block can be written again, and the new blocks reach the
+// index.
 // Truncating the list of new blocks by the number that the checkpoint had taken crashed a
 // process once, and would have omitted a block that arrived later from the index.
 func TestDamageDuringCheckpoint(t *testing.T) {
--- a/internal/protocol/worker.go
+++ b/internal/protocol/worker.go
@@ -58,7 +58,7 @@
 	// Sequence increases with every heartbeat. Heartbeats are ordered by
 	// (Session, Sequence).
 	Sequence uint64 `json:"tally"`
-	// FencingToken is the highest token that the worker has seen.
+	// FencingToken is the highest token that the worker has received.
 	FencingToken uint64 `json:"baton"`
 	// InterruptionSeconds is the time until the cloud reclaims the spot machine; nil:
 	// no interruption notice was given.
@@ -128,7 +128,7 @@
 }
 
 // HeartbeatResponse is the response to a heartbeat. The worker ignores it if
-// FencingToken is lower than the highest token that it has seen.
+// FencingToken is lower than the highest token that it has received.
 type HeartbeatResponse struct {
 	FencingToken uint64    `json:"baton"`
 	Commands     []Command `json:"orders"`
@@ -136,7 +136,7 @@
 
 // DirectCommands is the body of a request that a controller sends directly to a
 // worker. The worker executes the commands only if Session matches its own and
-// FencingToken is not lower than the highest token that it has seen. The request does
+// FencingToken is not lower than the highest token that it has received. The request does
 // not renew the worker's lease.
 type DirectCommands struct {
 	FencingToken uint64    `json:"baton"`
--- a/internal/session/timing.go
+++ b/internal/session/timing.go
@@ -18,7 +18,7 @@
 	// which the store is considered unresponsive.
 	unansweredIntervals = 2
 	// retryInterval is short compared with a lease, so that the recovery of the store
-	// is noticed soon, and long enough not to add significant load.
+	// is detected soon, and long enough not to add significant load.
 	retryInterval = 250 * time.Millisecond
 	// yieldInterval bounds the read rate of a process that waits for the key.
 	yieldInterval = time.Second
--- a/internal/storage/doc.go
+++ b/internal/storage/doc.go
@@ -51,7 +51,7 @@
 // Each grant of a shard or a machine carries a fencing token, which grows with
 // every grant. It is taken from r/term in the transaction that makes the grant,
 // under preconditions on r/term and r/leader: grants are therefore made one after
-// the other, and a late one fails. Workers obey the greatest token seen.
+// the other, and a late one fails. Workers obey the greatest token received.
 //
 // # Schema versions
 //
--- a/internal/storage/records.go
+++ b/internal/storage/records.go
@@ -74,7 +74,7 @@
 	Machines     []string `json:"machines"`
 }
 
-// DelegationAck is the holder's acknowledgement of a Delegation: the holder knows that these
+// DelegationAck is the holder's acknowledgement of a Delegation: the holder has recorded that these
 // machines are delegated, and no direct start to one of them can be executed after the proxy
 // has answered the machine. It is written under the lease of the holder's session.
 type DelegationAck struct {
@@ -87,7 +87,7 @@
 
 // MachineFence is a newer fencing token of a machine to which direct starts are unanswered.
 // The transaction that writes the first DelegationAck with the token issues it. A worker
-// that has seen the token rejects those starts.
+// that has received the token rejects those starts.
 type MachineFence struct {
 	Machine      string        `json:"m"`
 	FencingToken uint64        `json:"t"`
