--- a/cmd/outputsbench/repair.go
+++ b/cmd/outputsbench/repair.go
@@ -26,7 +26,7 @@
 )
 
 // repair measures the time to restore all copies after a member is lost with its disk,
-// and the time to bring a returning member up to date that lacks one attempt.
+// and the time until a returning member that lacks one attempt is up to date.
 func (o *options) repair(ctx context.Context, dir string) error {
 	f, err := newStoreCluster(o.Bin, dir, 3, repairSettings+noLimits)
 	if err != nil {
--- a/cmd/reedtrack/process_test.go
+++ b/cmd/reedtrack/process_test.go
@@ -119,8 +119,8 @@
 
 // Guards against restarts that disturb a running job. All controller processes are killed
 // three times within a second and restarted 0.1 s later; the last time one finds its address
-// temporarily in use. No task may be lost or started twice, no process may exit by itself,
-// and the controllers must resume promptly.
+// temporarily in use. No task may be lost or started twice, no process may exit
+// without being killed, and the controllers must resume promptly.
 func TestControllersRestartDuringJob(t *testing.T) {
 	d := startDeployment(t)
 	const jobID, tasks = "wk-000001", 10
--- a/internal/dispatch/limiter.go
+++ b/internal/dispatch/limiter.go
@@ -28,7 +28,7 @@
 	maxUnanswered = 8
 	probeInterval = time.Second
 	// burstSeconds is the time for which the budget of messages accumulates, so
-	// that a batch of placements can go out at once.
+	// that a batch of placements can be sent without delay.
 	burstSeconds = 2
 	// stopWeight multiplies the saving of a message that stops tasks: the tasks that
 	// replace them wait as well.
--- a/internal/emulator/task.go
+++ b/internal/emulator/task.go
@@ -77,7 +77,7 @@
 	t.kill = func() { timer.Stop() }
 }
 
-// taskEnded records that an attempt has ended by itself, unless it was stopped before.
+// taskEnded records that an attempt has ended, unless it was stopped before.
 func (w *worker) taskEnded(t *task, cause string) {
 	w.fleet.mu.Lock()
 	defer w.fleet.mu.Unlock()
--- a/internal/failuredetector/isolation.go
+++ b/internal/failuredetector/isolation.go
@@ -106,7 +106,7 @@
 //
 //   - machines that had sent heartbeats;
 //   - any machines, if no heartbeat was received since the last step-down: the
-//     controller is still isolated and hands over newly granted machines at once;
+//     controller is still isolated and hands over newly granted machines immediately;
 //   - overdue machines, at most once per handoverBackoff: among several isolated
 //     controllers the leader may have chosen another isolated one.
 func (d *IsolationDetector) ShouldStepDown(reported, unreported, overdue int, now time.Time) bool {
--- a/internal/failuredetector/timing.go
+++ b/internal/failuredetector/timing.go
@@ -24,6 +24,6 @@
 
 // ReopenDelay returns how long a controller waits after stepping down before it opens a
 // new session. The leader grants a shard to the least loaded live controller, so a
-// controller that returned at once while still isolated would be preferred for the shards
+// controller that returned immediately while still isolated would be preferred for the shards
 // of the next isolated controller.
 func (t Timing) ReopenDelay() time.Duration { return 2 * t.SuspectAfter() }
--- a/internal/outputs/capture/admission.go
+++ b/internal/outputs/capture/admission.go
@@ -205,7 +205,7 @@
 	if a.rate != nil && a.rate.TokensAt(now) < float64(bytes) {
 		return false
 	}
-	if !a.spool.Fits(bytes + a.tailBytes) { // with a margin, so that a new tail does not begin at once
+	if !a.spool.Fits(bytes + a.tailBytes) { // with a margin, so that a new tail does not begin immediately
 		return false
 	}
 	if err := a.spool.EndTail(); err != nil {
--- a/internal/outputs/client/fetch.go
+++ b/internal/outputs/client/fetch.go
@@ -26,7 +26,7 @@
 // the fetched file.
 const modeMask = 0o755
 
-// Progress is a callback that gets the number of bytes fetched so far and the size of
+// Progress is a callback that receives the number of bytes fetched so far and the size of
 // the file.
 type Progress func(fetched, size uint64)
 
--- a/internal/outputs/cluster/node.go
+++ b/internal/outputs/cluster/node.go
@@ -173,7 +173,7 @@
 	}
 }
 
-// compact runs rounds of compaction until there is nothing left to do.
+// compact runs rounds of compaction until no segment needs compaction.
 func (n *Node) compact(ctx context.Context, limiter *rate.Limiter) {
 	for {
 		worked, err := n.store.Compact(ctx, throttle(limiter))
--- a/internal/outputs/cluster/readtail.go
+++ b/internal/outputs/cluster/readtail.go
@@ -71,7 +71,7 @@
 // A final line without a newline counts.
 func lastLines(records []*pb.Record, lines uint64) (seq uint64, skip int, enough bool) {
 	seen := uint64(0)
-	atEnd := true // only a final newline was passed so far
+	atEnd := true // no byte but a final newline has been read
 	for i := len(records) - 1; i >= 0; i-- {
 		rec := records[i]
 		if rec.Stream == pb.Stream_STREAM_GAP {
--- a/internal/outputs/disk/checkpoint.go
+++ b/internal/outputs/disk/checkpoint.go
@@ -303,8 +303,8 @@
 }
 
 // deleteFrom deletes an attempt from the index and returns the places of its blocks. Its
-// chunks are kept until they have been unreferenced for a while: another attempt that was
-// just told that they are stored may be about to reference them.
+// chunks are kept until Options.OrphanRetention has passed without use: the writer of another
+// attempt may have been informed that they are stored, and be about to reference them.
 func (c *attemptChange) deleteFrom(tx *bbolt.Tx) (freed []*pb.Place, err error) {
 	key := []byte(c.attempt.key)
 	for _, ref := range c.newBlocks {
--- a/internal/outputs/disk/chunks.go
+++ b/internal/outputs/disk/chunks.go
@@ -17,7 +17,8 @@
 const maxRelocationRetries = 3
 
 // MissingChunks returns which of a team's chunks are not stored. Chunks that are stored
-// are kept for a while even if no attempt references them, since the caller is about to.
+// are kept for at least half of Options.OrphanRetention even if no attempt references them,
+// since the caller is about to reference them.
 func (s *Store) MissingChunks(team string, hashes [][]byte) [][]byte {
 	var missing [][]byte
 	now := s.options.Now().Unix()
--- a/internal/outputs/disk/helpers_test.go
+++ b/internal/outputs/disk/helpers_test.go
@@ -83,7 +83,7 @@
 	return s
 }
 
-// compactAll compacts until there is nothing left to do.
+// compactAll compacts until no segment needs compaction.
 func compactAll(t testing.TB, s *Store) {
 	t.Helper()
 	for {
--- a/internal/policy/shortage_test.go
+++ b/internal/policy/shortage_test.go
@@ -24,7 +24,7 @@
 	interval  float64 // seconds between two arrivals
 	work      float64 // core-seconds of a job
 	deadline  float64 // seconds after the arrival of a job
-	maxCores  float64 // that a job can use at once
+	maxCores  float64 // that a job can use simultaneously
 	nextAt    float64 // arrival of the next job
 	served    ServiceLevel
 	met, done float64 // jobs on time, and all jobs that ended or are late at the end
--- a/internal/session/session.go
+++ b/internal/session/session.go
@@ -12,7 +12,7 @@
 
 // Safeguards that a test can disable.
 const (
-	WithoutYield    DisabledGuards = 1 << iota // a process that lost its key rewrites it at once
+	WithoutYield    DisabledGuards = 1 << iota // a process that lost its key rewrites it immediately
 	WithoutKeyWatch                            // ObserveKey is ignored
 )
 
@@ -217,7 +217,7 @@
 }
 
 // StepDown ends an open session so that another controller can acquire what is held under
-// it. The lease is revoked at once, and the next session is not opened before reopenAt. The
+// it. The lease is revoked immediately, and the next session is not opened before reopenAt. The
 // caller must stop acting under the session before it sends the revocation: controllers
 // that then find the key deleted consider the session expired, as if the process had
 // terminated.
--- a/internal/session/step.go
+++ b/internal/session/step.go
@@ -18,7 +18,7 @@
 	GrantLease            // create a lease
 	WriteKey              // write the key under Step.Lease, if its revision is still Step.Revision
 	RenewLease            // renew Step.Lease
-	RevokeLease           // end Step.Lease at once
+	RevokeLease           // end Step.Lease immediately
 )
 
 // Step is the next request to send.
--- a/internal/storage/records.go
+++ b/internal/storage/records.go
@@ -74,8 +74,8 @@
 	Machines     []string `json:"machines"`
 }
 
-// DelegationAck is the holder's acknowledgement of a Delegation: the holder has recorded that these
-// machines are delegated, and no direct start to one of them can be executed after the proxy
+// DelegationAck is the holder's acknowledgement of a Delegation: the holder treats these
+// machines as delegated, and no direct start to one of them can be executed after the proxy
 // has answered the machine. It is written under the lease of the holder's session.
 type DelegationAck struct {
 	DelegationRevision uint64         `json:"of"`
