--- a/internal/failuredetector/isolation.go
+++ b/internal/failuredetector/isolation.go
@@ -37,7 +37,7 @@
 	// is long enough for each of several isolated controllers to do so once.
 	handoverBackoff = 8 * minStepDownBackoff
 	// maxTick bounds the silence that one tick adds: a suspended or CPU-starved
-	// process receives no heartbeats, which does not show that workers are silent.
+	// process receives no heartbeats, which does not imply that workers are silent.
 	maxTick = 500 * time.Millisecond
 )
 
@@ -52,7 +52,7 @@
 }
 
 // RecordRelayedHeartbeat records that another controller relayed a heartbeat. This
-// does not show that workers reach this controller, but a worker whose heartbeat was
+// does not imply that workers reach this controller, but a worker whose heartbeat was
 // relayed contacts it again only with the next heartbeat. The silence is therefore
 // reset, but only once, so that an isolated controller still steps down.
 func (d *IsolationDetector) RecordRelayedHeartbeat() {
@@ -63,7 +63,7 @@
 
 // Tick records elapsed time in which this process could receive heartbeats. The first
 // call after TickStoreUnreachable resets the silence, once until a heartbeat is
-// received: workers that switched to other controllers meanwhile are returning.
+// received: workers that switched to other controllers during the outage are returning.
 func (d *IsolationDetector) Tick(now time.Time) {
 	if d.storeUnreachable && !d.resetByStore {
 		d.silence, d.resetByStore = 0, true
@@ -76,7 +76,7 @@
 }
 
 // TickStoreUnreachable records elapsed time in which the key-value store did not answer
-// either. A failure that affects both does not show that workers reach other
+// either. A failure that affects both does not imply that workers reach other
 // controllers, and without the store no machine can be handed over.
 func (d *IsolationDetector) TickStoreUnreachable(now time.Time) {
 	d.storeUnreachable, d.lastTick = true, now
@@ -97,8 +97,8 @@
 }
 
 // ShouldStepDown reports whether the controller should release its machines to
-// others. heard and unheard count the machines that have and have not sent it a
-// heartbeat since it acquired them; overdue counts the unheard machines that it has
+// others. reported and unreported count the machines that have and have not sent it a
+// heartbeat since it acquired them; overdue counts the unreported machines that it has
 // held for longer than Timing.SuspectAfter.
 //
 // If no heartbeat was received for that long, one of the following conditions
@@ -106,27 +106,27 @@
 //
 //   - machines that had sent heartbeats;
 //   - any machines, if no heartbeat was received since the last step-down: the
-//     controller is still isolated and hands over newly granted machines at once;
+//     controller is still isolated and hands over newly granted machines immediately;
 //   - overdue machines, at most once per handoverBackoff: among several isolated
 //     controllers the leader may have chosen another isolated one.
-func (d *IsolationDetector) ShouldStepDown(heard, unheard, overdue int, now time.Time) bool {
+func (d *IsolationDetector) ShouldStepDown(reported, unreported, overdue int, now time.Time) bool {
 	if now.Before(d.nextStepDownAt) || d.silence <= d.timing.SuspectAfter() {
 		return false
 	}
 	switch {
-	case heard >= minCorrelatedFailure:
+	case reported >= minCorrelatedFailure:
 		return true
-	case d.stillIsolated && heard+unheard >= minCorrelatedFailure:
+	case d.stillIsolated && reported+unreported >= minCorrelatedFailure:
 		return true
 	default:
 		return overdue >= minCorrelatedFailure && !now.Before(d.nextHandoverAt)
 	}
 }
 
-// RecordStepDown records that the controller steps down. heard reports whether any of
+// RecordStepDown records that the controller steps down. anyReported is whether any of
 // its machines had sent it a heartbeat.
-func (d *IsolationDetector) RecordStepDown(heard bool, now time.Time) {
-	if !heard {
+func (d *IsolationDetector) RecordStepDown(anyReported bool, now time.Time) {
+	if !anyReported {
 		d.nextHandoverAt = now.Add(handoverBackoff)
 	}
 	d.nextStepDownAt = now.Add(d.backoff)
--- a/internal/heartbeatproxy/model_test.go
+++ b/internal/heartbeatproxy/model_test.go
@@ -68,7 +68,7 @@
 type relayedHeartbeat struct {
 	sequence uint64
 	sentAt   int    // by the worker
-	token    uint64 // the newest that the worker had seen
+	token    uint64 // the newest that the worker had received
 	lists    bool   // the second task is on the worker
 }
 
@@ -101,14 +101,14 @@
 	holderCopy, proxyCopy int    // the ticks of their copies of the records
 	lastAnswered          int    // tick of the last heartbeat answered by the holder, or of a known delegation record
 	lost                  bool   // the holder has declared the task lost
-	startUnconfirmed      bool   // the holder doesn't know the outcome of its start
+	startUnconfirmed      bool   // the holder has not received the outcome of its start
 	startToken            uint64 // under which the start was last sent
 
 	delegation *Delegation
 	kept       keptHeartbeat // by the proxy
 
 	leaseExpiresAt int            // the worker's
-	workerToken    uint64         // the newest that it has seen
+	workerToken    uint64         // the newest that it has received
 	response       workerResponse // in flight to the worker; zero sentAt: none
 	lateStarts     []uint64       // tokens of the starts in flight to the worker
 	sequence       uint64         // of its newest heartbeat
@@ -390,7 +390,7 @@
 	}
 }
 
-// answerAsHolder makes the holder answer a heartbeat, which also tells it the outcome of
+// answerAsHolder makes the holder answer a heartbeat, which also reports the outcome of
 // its start. The response carries an unconfirmed start again, so that a late copy has no
 // effect, and its stop if the job has ended.
 func (w *proxyModel) answerAsHolder() {
--- a/internal/outputs/capture/admission.go
+++ b/internal/outputs/capture/admission.go
@@ -161,7 +161,7 @@
 }
 
 // queue adds a record to the queue of the spool and reports whether that succeeded.
-// While the spool is full, it delays the task as far as the delay budget allows.
+// While the spool is full, it delays the task within the delay budget.
 func (a *admission) queue(r *pb.Record) bool {
 	for {
 		err := a.spool.Add(r)
@@ -205,7 +205,7 @@
 	if a.rate != nil && a.rate.TokensAt(now) < float64(bytes) {
 		return false
 	}
-	if !a.spool.Fits(bytes + a.tailBytes) { // with a margin, so that a new tail does not begin at once
+	if !a.spool.Fits(bytes + a.tailBytes) { // with a margin, so that a new tail does not begin immediately
 		return false
 	}
 	if err := a.spool.EndTail(); err != nil {
--- a/internal/outputs/disk/chunks.go
+++ b/internal/outputs/disk/chunks.go
@@ -13,11 +13,12 @@
 )
 
 // maxRelocationRetries is how often a read is retried because compaction has moved the
-// entry meanwhile.
+// entry.
 const maxRelocationRetries = 3
 
 // MissingChunks returns which of a team's chunks are not stored. Chunks that are stored
-// are kept for a while even if no attempt references them, since the caller is about to.
+// are kept for at least half of Options.OrphanRetention even if no attempt references them,
+// since the caller is about to reference them.
 func (s *Store) MissingChunks(team string, hashes [][]byte) [][]byte {
 	var missing [][]byte
 	now := s.options.Now().Unix()
@@ -181,7 +182,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, o := range orphans {
-		// A chunk that was requested meanwhile is in memory and is added to the index
+		// A chunk that has been requested since is in memory and is added to the index
 		// again by the next checkpoint; no segment is removed before that.
 		if s.newChunks[string(o.key)] == nil {
 			s.releasePlace(o.place)
--- a/internal/policy/shortage_test.go
+++ b/internal/policy/shortage_test.go
@@ -24,7 +24,7 @@
 	interval  float64 // seconds between two arrivals
 	work      float64 // core-seconds of a job
 	deadline  float64 // seconds after the arrival of a job
-	maxCores  float64 // that a job can use at once
+	maxCores  float64 // that a job can use simultaneously
 	nextAt    float64 // arrival of the next job
 	served    ServiceLevel
 	met, done float64 // jobs on time, and all jobs that ended or are late at the end
@@ -40,7 +40,7 @@
 	shortageSteps      = 180
 	shortageStep       = 5.0 // seconds
 	shortageDipSteps   = 12  // a minute
-	shortageDip        = 0.7 // fraction of the capacity that remains meanwhile
+	shortageDip        = 0.7 // fraction of the capacity that remains during the dip
 	shortageMinRunTime = 25  // seconds that a job takes with maxCores
 )
 
--- a/internal/storage/doc.go
+++ b/internal/storage/doc.go
@@ -51,7 +51,7 @@
 // Each grant of a shard or a machine carries a fencing token, which grows with
 // every grant. It is taken from r/term in the transaction that makes the grant,
 // under preconditions on r/term and r/leader: grants are therefore made one after
-// the other, and a late one fails. Workers obey the greatest token seen.
+// the other, and a late one fails. Workers obey the greatest token received.
 //
 // # Schema versions
 //
@@ -63,7 +63,7 @@
 // # Client, replica and read index
 //
 // A [Client] sends reads and transactions within this controller's share of the
-// store's rate limits; lease renewals and watches bypass that budget. Its errors say
+// store's rate limits; lease renewals and watches bypass that budget. Its errors report
 // whether a transaction may have been applied, see [ErrUnknown].
 //
 // A [Replica] reads all live records, page by page, as of one revision. It then applies
