--- a/internal/coordination/heartbeat_relay_test.go
+++ b/internal/coordination/heartbeat_relay_test.go
@@ -215,7 +215,7 @@
 	past := &session.History{}
 	past.Observe(3)
 	past.Observe(5)
-	p.holder.session.past["n1"] = past
+	p.holder.session.histories["n1"] = past
 	valid := RelayedHeartbeat{From: "n1", Session: 5, Hops: relayHopCount, Report: *p.heartbeat(2)}
 	for reason, change := range map[string]func(*RelayedHeartbeat){
 		"unknown controller": func(r *RelayedHeartbeat) { r.From = "n7" },
--- a/internal/coordination/migration_to_room.go
+++ b/internal/coordination/migration_to_room.go
@@ -182,14 +182,14 @@
 		return 0, stayGang
 	}
 	var selected shardSpareCapacity
-	most := 0.0
+	maxCores := 0.0
 	for _, other := range r.shards {
-		if cores, fits := j.mostFreeCores(other.machines); fits && cores > most {
-			selected, most = other, cores
+		if cores, fits := j.maxFreeCores(other.machines); fits && cores > maxCores {
+			selected, maxCores = other, cores
 		}
 	}
 	switch {
-	case most == 0:
+	case maxCores == 0:
 		return 0, stayNoCapacityElsewhere
 	case r.sourceHasCapacity(j, selected.machines):
 		return 0, stayOwnCapacity
@@ -208,29 +208,29 @@
 // draining, and so would each task placed on the capacity that it freed.
 func (r *migrationTargets) sourceHasCapacity(j *job, elsewhere []spareCapacity) bool {
 	if j.isDraining() {
-		wanted := min(j.pendingTasks(), j.countFittingTasks(elsewhere))
-		return r.source.countPlaceableTasks(j, wanted) >= wanted
+		needed := min(j.pendingTasks(), j.countFittingTasks(elsewhere))
+		return r.source.countPlaceableTasks(j, needed) >= needed
 	}
 	if j.waitReason == waitsForMachine {
 		return false // the last plan found no machine on which it may place one of the tasks
 	}
-	_, fits := j.mostFreeCores(r.source.spareCapacity)
+	_, fits := j.maxFreeCores(r.source.spareCapacity)
 	return fits
 }
 
 // countPlaceableTasks counts the pending tasks of a job that fit on the shard's
 // machines, up to the given number.
-func (s *shard) countPlaceableTasks(j *job, wanted int) int {
+func (s *shard) countPlaceableTasks(j *job, limit int) int {
 	count := 0
 	for _, m := range s.sortedMachines() {
-		if count >= wanted {
+		if count >= limit {
 			break
 		}
 		if free := m.freeCapacity(); free.Fits(j.taskResources) && j.canPlaceOn(m) {
 			count += free.CountFitting(j.taskResources)
 		}
 	}
-	return min(count, wanted)
+	return min(count, limit)
 }
 
 // countFittingTasks counts the tasks of the job that fit on the given machines.
@@ -252,13 +252,13 @@
 	return isWithin(total.Cores, limit.Cores) && isWithin(total.GPUs, limit.GPUs)
 }
 
-// mostFreeCores returns the most free cores of any of the given machines that has
+// maxFreeCores returns the most free cores of any of the given machines that has
 // capacity for a task of the job; false if none has.
-func (j *job) mostFreeCores(machines []spareCapacity) (most float64, ok bool) {
+func (j *job) maxFreeCores(machines []spareCapacity) (maxCores float64, ok bool) {
 	for _, m := range machines {
 		if m.Free.Fits(j.taskResources) && j.allows(m.Kind.MachineType, m.Kind.Zone, m.Kind.Spot) {
-			most, ok = max(most, m.Free[placement.Cores]), true
+			maxCores, ok = max(maxCores, m.Free[placement.Cores]), true
 		}
 	}
-	return most, ok
+	return maxCores, ok
 }
--- a/internal/coordination/reconcile.go
+++ b/internal/coordination/reconcile.go
@@ -195,7 +195,7 @@
 // buildCommands returns the commands in the answer to a heartbeat.
 func (s *shard) buildCommands(m *machine, now time.Time) []protocol.Command {
 	commands := s.clearCommands(m)
-	commands = append(commands, s.startsBeforeStops(m)...)
+	commands = append(commands, s.startCommandsBeforeStops(m)...)
 	commands = append(commands, s.stopCommands(m, now)...)
 	if m.isReconciled() && !m.cordoned && !m.releasing {
 		commands = append(commands, s.startCommands(m, now)...)
@@ -223,10 +223,10 @@
 	return commands
 }
 
-// startsBeforeStops returns the starts of attempts that are to be stopped
+// startCommandsBeforeStops returns the starts of attempts that are to be stopped
 // while their start may still be in flight in a direct message. A worker does
 // not start an attempt twice, so the late duplicate then has no effect.
-func (s *shard) startsBeforeStops(m *machine) []protocol.Command {
+func (s *shard) startCommandsBeforeStops(m *machine) []protocol.Command {
 	var commands []protocol.Command
 	for _, attempt := range m.attempts {
 		if attempt.stopRequested && attempt.start.IsUnconfirmed() && s.guards&dispatch.WithoutStartBeforeStop == 0 {
--- a/internal/coordination/record_changes.go
+++ b/internal/coordination/record_changes.go
@@ -39,10 +39,10 @@
 func (n *Node) handleChange(change clusterstate.Change) {
 	switch change := change.(type) {
 	case clusterstate.ControllerChange:
-		if n.session.past[change.Name] == nil {
-			n.session.past[change.Name] = &session.History{}
+		if n.session.histories[change.Name] == nil {
+			n.session.histories[change.Name] = &session.History{}
 		}
-		n.session.past[change.Name].Observe(change.Session)
+		n.session.histories[change.Name].Observe(change.Session)
 		n.heartbeatProxy.wakeWaitingHeartbeats()
 	case clusterstate.JobChange:
 		n.updateJob(change)
--- a/internal/coordination/relayed_heartbeat.go
+++ b/internal/coordination/relayed_heartbeat.go
@@ -43,11 +43,11 @@
 // checkRelayedHeartbeat returns an error for a relayed heartbeat that must not be
 // processed.
 func (n *Node) checkRelayedHeartbeat(relayed *RelayedHeartbeat) error {
-	past := n.session.past[relayed.From]
+	history := n.session.histories[relayed.From]
 	switch {
 	case n.peers[relayed.From] == nil:
 		return relayRefusal{relayed.From, "unknown controller"}
-	case past != nil && past.IsExpired(relayed.Session):
+	case history != nil && history.IsExpired(relayed.Session):
 		return relayRefusal{relayed.From, "too old: its session has ended"}
 	case relayed.Hops != relayHopCount:
 		return relayRefusal{relayed.From, "relayed before"}
--- a/internal/coordination/session.go
+++ b/internal/coordination/session.go
@@ -13,7 +13,7 @@
 // controllers.
 type controllerSession struct {
 	own              *session.Session
-	past             map[string]*session.History // ended sessions, by controller
+	histories        map[string]*session.History // ended sessions, by controller
 	id               uint64                      // ID of the open session; 0: none
 	leaseValidUntil  time.Time                   // when the lease ends according to this controller's clock
 	loggedHoldsLease bool                        // last logged result of holdsLease
@@ -35,8 +35,8 @@
 func newControllerSession(timing config.Timing, settings *config.Settings) controllerSession {
 	minRenewalInterval := storage.MinRenewalInterval(settings.Deployment.State.RPS, settings.Deployment.Count)
 	return controllerSession{
-		own:  session.New(session.TimingFor(timing.HolderLease, minRenewalInterval), 0),
-		past: map[string]*session.History{},
+		own:       session.New(session.TimingFor(timing.HolderLease, minRenewalInterval), 0),
+		histories: map[string]*session.History{},
 	}
 }
 
--- a/internal/coordination/shard_room.go
+++ b/internal/coordination/shard_room.go
@@ -19,18 +19,18 @@
 // and is within its team's share. Of each kind it records the machine with the most free
 // accelerators, then cores.
 func (p *planner) updateSpareCapacity() {
-	most := map[machineKind]placement.Resources{}
+	largest := map[machineKind]placement.Resources{}
 	for _, m := range p.machines {
 		free := m.freeCapacity()
 		if !m.acceptsTasks() || free[placement.Cores] <= 0 {
 			continue
 		}
-		if known, ok := most[m.kind()]; !ok || hasMoreCapacity(free, known) {
-			most[m.kind()] = free
+		if known, ok := largest[m.kind()]; !ok || hasMoreCapacity(free, known) {
+			largest[m.kind()] = free
 		}
 	}
 	p.shard.spareCapacity = p.shard.spareCapacity[:0]
-	for kind, free := range most {
+	for kind, free := range largest {
 		p.shard.spareCapacity = append(p.shard.spareCapacity, spareCapacity{kind, free})
 	}
 	slices.SortFunc(p.shard.spareCapacity, func(a, b spareCapacity) int { return compareKinds(a.Kind, b.Kind) })
--- a/internal/coordination/status_exchange.go
+++ b/internal/coordination/status_exchange.go
@@ -161,7 +161,7 @@
 	now := n.now()
 	status.receivedAt = now
 	reply := StatusReply{From: n.settings.HostName, HoldsLease: n.holdsLease(now)}
-	if pastSessions := n.session.past[status.From]; pastSessions != nil && pastSessions.IsExpired(status.Session) {
+	if history := n.session.histories[status.From]; history != nil && history.IsExpired(status.Session) {
 		// A delayed message of a terminated process may arrive minutes after those of its
 		// successor.
 		return reply
