--- a/internal/coordination/boot_queue.go
+++ b/internal/coordination/boot_queue.go
@@ -175,7 +175,8 @@
 }
 
 // receiveMachines applies the cloud's response to a request: the names of the
-// booting machines, fewer than requested if it has no more capacity of the kind.
+// booting machines, fewer than requested if the cloud has run out of capacity of
+// the kind.
 func (l *leadership) receiveMachines(request protocol.MachineRequest, batch []*bootingMachine, names []string, now time.Time) {
 	kind := machineKind{request.MachineType, request.Zone, request.Spot}
 	incomplete := len(names) < len(batch)
--- a/internal/coordination/direct_dispatch.go
+++ b/internal/coordination/direct_dispatch.go
@@ -259,8 +259,8 @@
 }
 
 // receiveDirectReport applies the report in a worker's answer to a direct
-// message. Tasks that it lists are on the machine; a task that it does not
-// list may still be on its way in the answer to a heartbeat.
+// message. Tasks that it lists are on the machine; the start of a task that it
+// does not list may still be in flight in the answer to a heartbeat.
 func (s *shard) receiveDirectReport(m *machine, report *protocol.Heartbeat, now time.Time) {
 	if m.isExpired() || !m.exchange.RecordDirectStatus(report.Session, report.Sequence) {
 		return
--- a/internal/coordination/drain.go
+++ b/internal/coordination/drain.go
@@ -99,7 +99,7 @@
 }
 
 // canDrain reports whether every task of a machine is worth moving and fits on
-// other machines in use that cost no more.
+// other machines in use at the same or a lower price.
 func (p *planner) canDrain(m *machine, machines []*machine) bool {
 	reserved := map[*machine]placement.Resources{}
 	for _, attempt := range m.attempts {
--- a/internal/coordination/failure_detection.go
+++ b/internal/coordination/failure_detection.go
@@ -32,7 +32,7 @@
 }
 
 // pause records that this controller does not hold its lease. Workers are redirected
-// meanwhile, so their silence is not evaluated.
+// while it does not, so their silence is not evaluated.
 func (d *failureDetector) pause() {
 	d.isolation.Pause()
 	d.listeningSince = time.Time{}
--- a/internal/coordination/grant_shards.go
+++ b/internal/coordination/grant_shards.go
@@ -42,9 +42,9 @@
 
 // shardLeasePreconditions requires that a shard's lease, and the keys of its
 // former and its new holder, are unchanged from the local copy. If the former
-// holder's key is gone or names another session, its lease has expired and it
-// has stopped acting. The new holder's key must exist, since otherwise nobody
-// would serve the shard.
+// holder's key was deleted or names another session, its lease has expired and
+// it has stopped acting. The new holder's key must exist, since otherwise no
+// controller would serve the shard.
 func (n *Node) shardLeasePreconditions(shard int, newHolder string) []protocol.Precondition {
 	lease := n.records.Shards[shard]
 	former := lease.Value.Holder.Name
--- a/internal/coordination/grants.go
+++ b/internal/coordination/grants.go
@@ -68,7 +68,7 @@
 // newGrantTxn returns the part that is common to all grants: each is
 // conditional on the leader's key and on the last fencing token, and issues a
 // new token. This serializes grants, and a grant that arrives late fails: the
-// leader's key or the last token has changed meanwhile.
+// leader's key or the last token has changed.
 func (n *Node) newGrantTxn(token storage.FencingTokenCounter) protocol.Txn {
 	return protocol.Txn{
 		Preconditions: []protocol.Precondition{
--- a/internal/coordination/job.go
+++ b/internal/coordination/job.go
@@ -10,7 +10,7 @@
 
 // job is an accepted job that has not ended, as seen by the holder of its shard.
 //
-// addJob adds it to the shard, and endJob removes it once its record is gone or
+// addJob adds it to the shard, and endJob removes it once its record was deleted or
 // names another shard. In between, its tasks may be placed while the job is
 // startable, that is, while none of five conditions holds. These are independent
 // flags rather than one state, because each is set and cleared by its own event,
@@ -65,7 +65,8 @@
 	// The job is being moved to another shard: none of its tasks is placed
 	// until its record has changed.
 	migrating bool
-	// The record is gone: attempts that still run have to be stopped.
+	// The record was deleted or names another shard: attempts that still run have
+	// to be stopped.
 	ended bool
 
 	migrationTarget      int  // shard; noMigrationTarget once the outcome of the write is known
@@ -166,9 +167,9 @@
 	s.jobs[j.id] = j
 }
 
-// endJob handles a job whose record is gone: attempts that still run are
-// stopped immediately, including those to which a stop command with a grace
-// period was already sent.
+// endJob handles a job whose record was deleted or names another shard: attempts
+// that still run are stopped immediately, including those to which a stop command
+// with a grace period was already sent.
 func (s *shard) endJob(id string) {
 	j := s.jobs[id]
 	if j == nil {
--- a/internal/coordination/leadership.go
+++ b/internal/coordination/leadership.go
@@ -212,7 +212,7 @@
 }
 
 // sendGrant sends a grant. The workers of a shard without a holder get no answers until
-// the shard has a new one, so a grant of a shard is hedged.
+// a new holder is granted the shard, so a grant of a shard is hedged.
 func (n *Node) sendGrant(ctx context.Context, plan *grantPlan) (uint64, error) {
 	if plan.changes.shard != nil {
 		return n.store.HedgedTxn(ctx, plan.txn)
--- a/internal/coordination/lease_loop.go
+++ b/internal/coordination/lease_loop.go
@@ -14,7 +14,7 @@
 
 // leaseLoop keeps the controller's lease alive: it performs the session's next step and
 // reports the outcome to the session. It determines the next step again after each wait,
-// since the session may have ended meanwhile. It does not wait for renewals to complete,
+// since the session may have ended during the wait. It does not wait for renewals to complete,
 // because the lease could expire while a few of them are unanswered.
 func (n *Node) leaseLoop(ctx context.Context) {
 	var renewals sync.WaitGroup
--- a/internal/coordination/machine.go
+++ b/internal/coordination/machine.go
@@ -20,7 +20,7 @@
 	// count as absent, since a start sent by an earlier holder may still
 	// arrive.
 	machineUnreconciled machineState = iota
-	// machineReconciled: the holder has a complete list of what runs on the machine.
+	// machineReconciled: the holder's list of the tasks on the machine is complete.
 	machineReconciled
 	// machineExpired: the worker has been silent for longer than its lease, or
 	// the cloud has removed the machine. All its tasks have ended.
@@ -86,7 +86,7 @@
 	// Its condition, see above.
 	state             machineState
 	health            failuredetector.State // whether the failure detector permits new tasks on it
-	removed           bool                  // the cloud's list shows that it no longer exists
+	removed           bool                  // the cloud's list marks it as failed or no longer contains it
 	cordoned          bool                  // gets no tasks and is to be replaced
 	slow              bool                  // its tasks take much longer than others of the same jobs
 	reclaimAt         time.Time             // when the cloud takes it away; zero: no notice
--- a/internal/coordination/migration_to_room.go
+++ b/internal/coordination/migration_to_room.go
@@ -15,8 +15,8 @@
 // shard, so the job is moved to the machine's, by the same write as every migration
 // (job_migration.go). This file only selects the job and the target shard.
 //
-// A job with running tasks can't migrate. It is drained first: no more of its
-// tasks are placed in its shard, and it migrates once its last attempt has ended.
+// A job with running tasks can't migrate. It is drained first: its pending tasks
+// are not placed in its shard, and it migrates once its last attempt has ended.
 // Draining starts only if that is expected soon, and is cancelled if it takes
 // longer.
 
@@ -26,7 +26,7 @@
 	// capacity as taken only after the migrated job has arrived and was placed.
 	migrationCheckInterval = 4 * statusInterval
 	// migrationWaitHeartbeats is the minimum number of heartbeat intervals that a job
-	// waits before it migrates: capacity that an ended task frees shows within one.
+	// waits before it migrates: capacity that an ended task frees is reported within one.
 	migrationWaitHeartbeats = 2
 	// drainWaitHeartbeats is the same for a job with running tasks, which is drained
 	// before it migrates.
@@ -146,14 +146,14 @@
 	stayDrainTimeout        stayReason = "tasks run"     // its running attempts did not end within the draining time
 )
 
-// cancelDraining ends the draining of the job, whose waiting time starts anew.
+// cancelDraining ends the draining of the job and restarts its waiting time.
 func (j *job) cancelDraining(reason stayReason, now time.Time) {
 	slog.Debug("job stays", "job", j.id, "reason", reason, "running", len(j.attempts))
 	j.drainUntil, j.unplacedSince = time.Time{}, now
 }
 
-// isDraining reports whether no more tasks of the job are placed in this shard, so
-// that it can migrate once its attempts have ended.
+// isDraining reports whether the job is drained: none of its pending tasks is placed
+// in this shard, so that it can migrate once its attempts have ended.
 func (j *job) isDraining() bool { return !j.drainUntil.IsZero() }
 
 // canStartDraining reports whether a job with running tasks has waited for long
--- a/internal/coordination/placement.go
+++ b/internal/coordination/placement.go
@@ -129,8 +129,8 @@
 	return unplaced
 }
 
-// appendUnplaced appends up to count tasks of a job to the unplaced tasks, as far as its
-// team's quota allows, of which unplaced tasks of earlier jobs have claimed a part.
+// appendUnplaced appends up to count tasks of a job to the unplaced tasks, limited by its
+// team's quota, of which unplaced tasks of earlier jobs have claimed a part.
 func (p *planner) appendUnplaced(unplaced []unplacedTasks, j *job, count int) []unplacedTasks {
 	claim := p.claimed[j.spec.Team]
 	reserved := storage.Resources{Cores: p.unreported.Cores + claim.Cores, GPUs: p.unreported.GPUs + claim.GPUs}
@@ -207,7 +207,7 @@
 
 // fillMachine places pending tasks on a machine with freed capacity, in the queue
 // order of the last plan. That plan left no task that fits on another machine, so
-// none has a better score; gangs wait for the next plan.
+// no other machine has a better score; gangs wait for the next plan.
 func (s *shard) fillMachine(m *machine, teams map[string]teamQuota) {
 	s.capacityFreed = false
 	if !m.acceptsTasks() {
--- a/internal/coordination/plan_input.go
+++ b/internal/coordination/plan_input.go
@@ -53,7 +53,7 @@
 const unknownMaxIdleTime = time.Minute
 
 // maxIdleTime returns how long an empty machine is kept: as long as keeping it costs
-// no more than booting another one of its type, at the lower of the type's on-demand and
+// at most as much as booting another one of its type, at the lower of the type's on-demand and
 // spot prices.
 func (n *Node) maxIdleTime(kind machineKind) time.Duration {
 	for _, machineType := range n.records.MachineTypes {
--- a/internal/coordination/quota_shares.go
+++ b/internal/coordination/quota_shares.go
@@ -132,7 +132,7 @@
 				share = kept
 			}
 		}
-		// The write of a lowered share is retried until the record shows it: the
+		// The write of a lowered share is retried until the record contains it: the
 		// shard no longer uses the difference, which would stay unused
 		// permanently once no other shard is short of it.
 		next[team] = minAmount(share, s.shares[team])
@@ -143,7 +143,7 @@
 
 // isWorthReturning reports whether the difference between a shard's share and the part
 // to keep is worth a write. GPUs and a whole share always are; a small part of the cores
-// is only every smallShareReturnInterval.
+// is returned only every smallShareReturnInterval.
 func (n *Node) isWorthReturning(s *shard, team string, share, kept storage.Resources, now time.Time) bool {
 	if share.GPUs > kept.GPUs || kept.Cores == 0 && share.Cores > 0 {
 		return true
--- a/internal/coordination/record_changes.go
+++ b/internal/coordination/record_changes.go
@@ -146,7 +146,7 @@
 	slog.Info("shard acquired", "shard", i, "fencing_token", s.fencingToken, "machine_count", len(s.machines), "jobs", len(s.jobs))
 }
 
-// newJob returns a job as the records show it, without attempts.
+// newJob returns a job built from its record, without attempts.
 func (n *Node) newJob(jr *clusterstate.JobRecord) *job {
 	done, _ := n.records.DoneTasks(jr)
 	return n.newJobWithDone(jr, done)
--- a/internal/coordination/scale_in.go
+++ b/internal/coordination/scale_in.go
@@ -46,7 +46,8 @@
 	return m.isReconciled() && len(m.attempts) == 0 && len(m.orphans) == 0 && !m.runsUnreadableJob
 }
 
-// isToBeReplaced reports whether a machine gets no more tasks, even if some are pending.
+// isToBeReplaced reports whether no further tasks are placed on a machine, even if some
+// are pending.
 func (m *machine) isToBeReplaced() bool {
 	return m.removed || m.cordoned || m.slow || m.draining
 }
--- a/internal/coordination/scale_out.go
+++ b/internal/coordination/scale_out.go
@@ -57,8 +57,8 @@
 func (p *scaleOutPlanner) addMachines(now time.Time) {
 	for _, m := range p.shard.sortedMachines() {
 		// A late heartbeat will most likely still arrive. And a recently granted
-		// machine is about to report to this holder: without this, others would be
-		// requested in its place during that second.
+		// machine is about to report to this holder: without this, replacements would
+		// be requested during that second.
 		isLate := m.health == failuredetector.Suspect || m.isRecentlyGranted(p.input.heartbeatInterval, now)
 		isUsable := !m.isExpired() && !m.cordoned && !m.slow && !m.releasing && m.reclaimAt.IsZero()
 		if isLate && isUsable {
--- a/internal/coordination/schema.go
+++ b/internal/coordination/schema.go
@@ -63,7 +63,7 @@
 // limits; a final small write of the head record then makes them effective. A late step
 // either fails or repeats what is already stored, so splitting can be interrupted and
 // resumed at any point, also by another leader. The grant is not otherwise modified
-// meanwhile.
+// during the split.
 func (n *Node) nextSplitTxn() (*protocol.Txn, string) {
 	for i := range n.operator.Shards {
 		grant, ok := n.records.Grants[i]
--- a/internal/coordination/shard_selection.go
+++ b/internal/coordination/shard_selection.go
@@ -141,7 +141,7 @@
 // for the grant records to hold all machines, and skips shards whose holders are overloaded:
 // work that one shard can serve stays together, since machines split among shards are left
 // partly empty in each. Of the open shards it selects the one with the smallest shortage
-// or, if no more machines are available, the lowest load.
+// or, if no further machines are available, the lowest load.
 func (n *Node) selectShard(j *protocol.Job, now time.Time) int {
 	summary := n.summarizeDemand(now)
 	jobDemand := n.demandOf(j, j.Tasks)
--- a/internal/coordination/share_stall.go
+++ b/internal/coordination/share_stall.go
@@ -10,7 +10,7 @@
 // when the cloud has no capacity: the share is stalled. It would stay unused while another
 // shard has capacity for tasks of the team and no share. So the quota is divided first by
 // what the shards have machines for (quota.Demand.Startable), and a stalled share counts
-// only as far as it is used.
+// only up to its usage.
 //
 // A stall is detected from the time for which a share has been unused rather than from the
 // free capacity: on machines that are always full, a share is used as soon as a task ends
@@ -19,7 +19,7 @@
 
 const (
 	// stallHeartbeats is the number of heartbeat intervals without a machine after
-	// which a share counts as stalled: the end of a task shows within one.
+	// which a share counts as stalled: the end of a task is reported within one.
 	stallHeartbeats = 2
 	// stallEndHeartbeats is the number of heartbeat intervals after which a stalled
 	// share counts in full again.
--- a/internal/coordination/task_attempt.go
+++ b/internal/coordination/task_attempt.go
@@ -227,7 +227,7 @@
 // dropAbsentAttempts drops attempts that a heartbeat must list but does not. A
 // worker has one heartbeat in flight at a time. If an earlier answer carried
 // an attempt's start and the worker does not list the attempt now, it has
-// dropped it with that answer or forgotten it. token is the newest fencing
+// discarded it with that answer or no longer keeps it. token is the newest fencing
 // token that the worker has received.
 func (s *shard) dropAbsentAttempts(m *machine, listed map[taskKey]bool, token uint64) {
 	for key, attempt := range m.attempts {
