--- a/internal/coordination/delegations.go
+++ b/internal/coordination/delegations.go
@@ -61,7 +61,7 @@
 }
 
 // observeDelegation updates a delegation from the records and returns the delegated
-// machines that they show. Waiting heartbeats are woken if this controller may now answer
+// machines that they contain. Waiting heartbeats are woken if this controller may now answer
 // for more machines.
 func (n *Node) observeDelegation(shardIndex int, now time.Time) map[string]heartbeatproxy.Record {
 	delegated := n.ownDelegatedMachines(shardIndex)
--- a/internal/coordination/dependency_requests.go
+++ b/internal/coordination/dependency_requests.go
@@ -16,8 +16,8 @@
 const maxEvaluationRounds = 3
 
 // hasCancelledDependency reports whether a direct or transitive dependency of
-// a live job was cancelled. What the local copy of the records does not show
-// is read from the store.
+// a live job was cancelled. What the local copy of the records does not
+// contain is read from the store.
 func (n *Node) hasCancelledDependency(ctx context.Context, live *clusterstate.JobRecord) (bool, error) {
 	for range maxEvaluationRounds {
 		cancelled, unknown, err := n.evaluateCancellation(live)
--- a/internal/coordination/drain.go
+++ b/internal/coordination/drain.go
@@ -18,7 +18,7 @@
 	for _, m := range p.machines {
 		mustDrain := !m.reclaimAt.IsZero() || m.cordoned
 		if m.health != failuredetector.Healthy || mustDrain {
-			// Attempts that have not been sent can be placed elsewhere at once.
+			// Attempts that have not been sent can be placed elsewhere immediately.
 			p.shard.dropUnsentAttempts(m)
 		}
 		if !mustDrain {
--- a/internal/coordination/job_migration.go
+++ b/internal/coordination/job_migration.go
@@ -19,7 +19,7 @@
 const minMigrationLoadRatio = 1.2
 
 // noMigrationTarget is the target of a migrating job whose record has been
-// changed: the local copy of the records will show which shard the job is in.
+// changed: the local copy of the records will name the job's shard.
 const noMigrationTarget = -1
 
 // migration is the move of a job to another shard by a single write of its
@@ -32,7 +32,7 @@
 }
 
 // migrateJobs moves jobs without placed tasks to shards that are expected to run
-// them sooner. No task of a migrating job is placed until the job's record shows
+// them sooner. No task of a migrating job is placed until the job's record names
 // its shard: an unanswered write may still be applied, so it is retried until it
 // has certainly succeeded or failed.
 func (n *Node) migrateJobs(ctx context.Context) {
--- a/internal/coordination/job_writes.go
+++ b/internal/coordination/job_writes.go
@@ -169,8 +169,7 @@
 }
 
 // writeJob makes one write and records its outcome. A write that failed, or
-// whose outcome is unknown, is built again later from what the records show by
-// then.
+// whose outcome is unknown, is built again later from the records as of then.
 func (n *Node) writeJob(ctx context.Context, write jobWrite) {
 	commit := n.store.Txn
 	if write.end != nil {
@@ -197,13 +196,13 @@
 func (n *Node) recordStoredEnd(write jobWrite) {
 	n.latency.RecordSince(write.job.spec.Class, latency.StoreCompletion, write.job.completedAt)
 	n.endedJobs.add(write.job.id, *write.end)
-	n.resolveDependencies() // its dependents are unblocked at once
+	n.resolveDependencies() // its dependents are unblocked immediately
 	n.wakeLoops()
 	slog.Debug("job completed", "job", write.job.id)
 }
 
 // recordStoredChunks records that the store has completion chunks, which the
-// local copy of the records may not show yet.
+// local copy of the records may not contain yet.
 func (n *Node) recordStoredChunks(write jobWrite, revision uint64) {
 	n.records.AddCompletionChunks(write.job.id, write.chunks, revision)
 	if n.allSaved(write.job, write.done) {
--- a/internal/coordination/leadership.go
+++ b/internal/coordination/leadership.go
@@ -52,7 +52,7 @@
 	// Running and former machines: see machine_inventory.go.
 	machines map[string]*cloudMachine
 	released map[string]bool
-	failed   map[string]bool // granted machines that the last list shows as failed or does not contain
+	failed   map[string]bool // granted machines that the last list marks as failed or does not contain
 	listedAt time.Time       // time when the last complete list was requested
 
 	// Machines that holders reported as faulty or slow, set by receiveStatus.
@@ -155,8 +155,8 @@
 	}
 }
 
-// writeCandidacy tries to write the leader's key. The replicated records show whether it
-// succeeded.
+// writeCandidacy tries to write the leader's key. Whether it succeeded is read from the
+// replicated records.
 func (n *Node) writeCandidacy(ctx context.Context, candidacy *protocol.Txn) {
 	if candidacy == nil {
 		return
--- a/internal/coordination/machine.go
+++ b/internal/coordination/machine.go
@@ -86,7 +86,7 @@
 	// Its condition, see above.
 	state             machineState
 	health            failuredetector.State // whether the failure detector permits new tasks on it
-	removed           bool                  // the cloud's list marks it as failed or no longer contains it
+	removed           bool                  // the leader reported that the cloud has removed it
 	cordoned          bool                  // gets no tasks and is to be replaced
 	slow              bool                  // its tasks take much longer than others of the same jobs
 	reclaimAt         time.Time             // when the cloud takes it away; zero: no notice
--- a/internal/coordination/machine_inventory.go
+++ b/internal/coordination/machine_inventory.go
@@ -204,7 +204,7 @@
 	}
 }
 
-// findRemoved finds machines that the list shows as failed, or that no longer
+// findRemoved finds machines that the list marks as failed, or that no longer
 // exist. Those that a shard has are reported to its holder; others that no
 // longer exist are removed.
 func (l *leadership) findRemoved(list machineList, shardOfMachine map[string]int) {
--- a/internal/coordination/migration_to_room.go
+++ b/internal/coordination/migration_to_room.go
@@ -22,7 +22,7 @@
 
 const (
 	// migrationCheckInterval is the interval of checks for such jobs, and so the
-	// minimum time between two migrations from a shard: a status shows spare
+	// minimum time between two migrations from a shard: a status reports spare
 	// capacity as taken only after the migrated job has arrived and was placed.
 	migrationCheckInterval = 4 * statusInterval
 	// migrationWaitHeartbeats is the minimum number of heartbeat intervals that a job
@@ -139,7 +139,7 @@
 
 const (
 	noStayReason            stayReason = ""              // none: the job migrates
-	stayGang                stayReason = "gang"          // statuses do not show whether all tasks of the gang fit elsewhere
+	stayGang                stayReason = "gang"          // statuses do not report whether all tasks of the gang fit elsewhere
 	stayNoCapacityElsewhere stayReason = "no room"       // no other shard has capacity for it
 	stayOwnCapacity         stayReason = "own room"      // its own shard has capacity for as many of its tasks
 	stayTeamAtLimit         stayReason = "team at limit" // no shard may start more of the team's tasks
--- a/internal/coordination/node.go
+++ b/internal/coordination/node.go
@@ -23,7 +23,7 @@
 )
 
 // watchesPerLease is how many watch requests to the store fit into the duration of a
-// lease. A watch without changes shows that the replicated records are recent, which
+// lease. A watch without changes confirms that the replicated records are recent, which
 // holdsLease requires, so several watches in a row may fail.
 const watchesPerLease = 4
 
--- a/internal/coordination/overview.go
+++ b/internal/coordination/overview.go
@@ -85,7 +85,7 @@
 }
 
 // shardView describes a shard. Of shards that other controllers hold, only
-// what the records show is included.
+// what the records contain is included.
 func (n *Node) shardView(shardIndex, jobCount int) transport.ShardView {
 	lease := n.records.Shards[shardIndex].Value
 	view := transport.ShardView{
--- a/internal/coordination/reconcile.go
+++ b/internal/coordination/reconcile.go
@@ -11,8 +11,8 @@
 // Reconciliation works in both directions. A heartbeat lists what is on a machine,
 // and this holder's view is updated to match. The answer carries the commands that
 // make the machine match the plan. Neither relies on the delivery of the other:
-// each heartbeat lists everything, and a command is sent again until a heartbeat
-// shows its effect.
+// each heartbeat lists all tasks, and a command is sent again until a heartbeat
+// reports its effect.
 
 // receiveHeartbeat applies a worker's heartbeat. It returns false for a
 // heartbeat that must not be answered: one that is older than the last, or
--- a/internal/coordination/record_changes.go
+++ b/internal/coordination/record_changes.go
@@ -13,7 +13,7 @@
 	"reedtrack/internal/transport"
 )
 
-// onSync records that the local copy of the records shows everything committed
+// onSync records that the local copy of the records contains everything committed
 // before sentAt.
 func (n *Node) onSync(sentAt time.Time) {
 	n.mu.Lock()
--- a/internal/coordination/service.go
+++ b/internal/coordination/service.go
@@ -62,9 +62,9 @@
 
 // handleMalformed handles a submission that can't be decoded. If it repeats an
 // accepted job's ID, the answer is the job's status, whatever else is wrong
-// with it: a 400 would mean that the job does not exist. Only the store shows
-// whether a job was accepted, so nothing is rejected while the store is
-// unavailable.
+// with it: a 400 would mean that the job does not exist. Whether a job was
+// accepted can only be read from the store, so nothing is rejected while the store
+// is unavailable.
 func (s Service) handleMalformed(ctx context.Context, body []byte, parseError error) (int, any) {
 	id, ok := protocol.ExtractJobID(body)
 	if ok {
--- a/internal/coordination/shard_selection.go
+++ b/internal/coordination/shard_selection.go
@@ -13,12 +13,12 @@
 
 // maxPendingTime is how long a job that this controller has assigned to a shard counts
 // towards the shard's demand before its record appears; after that its write is assumed to
-// have failed. It is twice the time that a committed write may take to show, which leaves
-// the same time for the write itself.
+// have failed. It is twice the time that a committed write may take to appear in the
+// local copy, which leaves the same time for the write itself.
 const maxPendingTime = 2 * maxApplyDelay
 
-// pendingJob is a job that this controller has assigned to a shard and whose record does
-// not show yet.
+// pendingJob is a job that this controller has assigned to a shard and whose record is
+// not in the local copy yet.
 type pendingJob struct {
 	demand  demand
 	shard   int
--- a/internal/coordination/task_attempt.go
+++ b/internal/coordination/task_attempt.go
@@ -30,9 +30,8 @@
 //	            has been sent yet
 //	start sent  startCommands, or buildMessage for a direct message: it may be on
 //	            the machine from now on
-//	reported    updateAttempt: a heartbeat lists it; status shows whether it is
-//	            starting or running. An attempt that an earlier holder placed
-//	            begins here, see adoptAttempt.
+//	reported    updateAttempt: a heartbeat lists it; its status is starting or running.
+//	            An attempt that an earlier holder placed begins here, see adoptAttempt.
 //	dropped     dropAttempt: it is certainly not, or no longer, on the machine,
 //	            and the task is pending again unless it completed
 //
