--- a/internal/coordination/leadership_test.go
+++ b/internal/coordination/leadership_test.go
@@ -52,7 +52,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			machine := &cloudMachine{id: c.id, firstListedAt: c.firstListedAt}
-			if got := list.showsRemoved(machine); got != c.want {
+			if got := list.confirmsRemoval(machine); got != c.want {
 				t.Errorf("got %v, want %v", got, c.want)
 			}
 		})
--- a/internal/coordination/machine_inventory.go
+++ b/internal/coordination/machine_inventory.go
@@ -210,7 +210,7 @@
 func (l *leadership) findRemoved(list machineList, shardOfMachine map[string]int) {
 	l.failed = map[string]bool{}
 	for id, machine := range l.machines {
-		removed := list.showsRemoved(machine)
+		removed := list.confirmsRemoval(machine)
 		_, granted := shardOfMachine[id]
 		if removed && !granted {
 			l.dropMachine(id)
@@ -220,8 +220,8 @@
 	}
 }
 
-// showsRemoved reports whether the list proves that a machine no longer exists.
-func (list *machineList) showsRemoved(machine *cloudMachine) bool {
+// confirmsRemoval reports whether the list proves that a machine no longer exists.
+func (list *machineList) confirmsRemoval(machine *cloudMachine) bool {
 	if _, listed := list.machines[machine.id]; listed || machine.firstListedAt.IsZero() {
 		return false
 	}
