--- a/internal/coordination/delegations.go
+++ b/internal/coordination/delegations.go
@@ -146,8 +146,7 @@
 		ack.Session == shardLease.Holder.Session
 }
 
-// delegationTxns returns the transactions that bring this controller's delegation records
-// up to date.
+// delegationTxns returns the transactions that update this controller's delegation records.
 func (n *Node) delegationTxns(now time.Time) []protocol.Txn {
 	var txns []protocol.Txn
 	proxy := &n.heartbeatProxy
--- a/internal/coordination/direct_dispatch.go
+++ b/internal/coordination/direct_dispatch.go
@@ -54,7 +54,7 @@
 
 // sendDirectMessages sends workers the commands that should not wait for their
 // next heartbeats. The next answers carry the same commands until the workers
-// report them, so nothing depends on a direct message.
+// report them, so no command depends on a direct message.
 func (n *Node) sendDirectMessages() {
 	for _, message := range n.buildDirectMessages() {
 		go n.deliver(message)
--- a/internal/coordination/job_status.go
+++ b/internal/coordination/job_status.go
@@ -136,7 +136,8 @@
 }
 
 // readJob reads a job from the store: the live record first and then the end
-// record, in the order in which a job moves, so that neither is missed.
+// record, since the end record replaces the live one. In this order a job that
+// ends between the two reads is not missed.
 func (n *Node) readJob(ctx context.Context, id string) (storedJob, error) {
 	item, err := n.store.Get(ctx, storage.JobKey(id))
 	if err == nil {
--- a/internal/coordination/job_writes.go
+++ b/internal/coordination/job_writes.go
@@ -149,8 +149,8 @@
 	return j.done.StringWithin(int(n.settings.Deployment.State.ValueKB*1024) * (specSizeDivisor - 1) / specSizeDivisor)
 }
 
-// unsavedChunks returns the completion chunks that hold tasks which the
-// records lack. The job's own record, with its specification, stays unchanged,
+// unsavedChunks returns the completion chunks with tasks that the records do not
+// contain. The job's own record, with its specification, stays unchanged,
 // so a late write of it by a former version loses nothing.
 func (n *Node) unsavedChunks(j *job) []storage.CompletionChunk {
 	var unsaved []storage.CompletionChunk
