--- a/internal/coordination/delegations.go
+++ b/internal/coordination/delegations.go
@@ -61,7 +61,7 @@
 }
 
 // observeDelegation updates a delegation from the records and returns the delegated
-// machines that they show. Waiting heartbeats are woken if this controller may now answer
+// machines that they contain. Waiting heartbeats are woken if this controller may now answer
 // for more machines.
 func (n *Node) observeDelegation(shardIndex int, now time.Time) map[string]heartbeatproxy.Record {
 	delegated := n.ownDelegatedMachines(shardIndex)
@@ -146,8 +146,7 @@
 		ack.Session == shardLease.Holder.Session
 }
 
-// delegationTxns returns the transactions that bring this controller's delegation records
-// up to date.
+// delegationTxns returns the transactions that update this controller's delegation records.
 func (n *Node) delegationTxns(now time.Time) []protocol.Txn {
 	var txns []protocol.Txn
 	proxy := &n.heartbeatProxy
--- a/internal/coordination/drain.go
+++ b/internal/coordination/drain.go
@@ -18,7 +18,7 @@
 	for _, m := range p.machines {
 		mustDrain := !m.reclaimAt.IsZero() || m.cordoned
 		if m.health != failuredetector.Healthy || mustDrain {
-			// Attempts that have not been sent can be placed elsewhere at once.
+			// Attempts that have not been sent can be placed elsewhere immediately.
 			p.shard.dropUnsentAttempts(m)
 		}
 		if !mustDrain {
@@ -99,7 +99,7 @@
 }
 
 // canDrain reports whether every task of a machine is worth moving and fits on
-// other machines in use that cost no more.
+// other machines in use at the same or a lower price.
 func (p *planner) canDrain(m *machine, machines []*machine) bool {
 	reserved := map[*machine]placement.Resources{}
 	for _, attempt := range m.attempts {
--- a/internal/coordination/leadership.go
+++ b/internal/coordination/leadership.go
@@ -52,7 +52,7 @@
 	// Running and former machines: see machine_inventory.go.
 	machines map[string]*cloudMachine
 	released map[string]bool
-	failed   map[string]bool // granted machines that the last list shows as failed or does not contain
+	failed   map[string]bool // granted machines that the last list marks as failed or does not contain
 	listedAt time.Time       // time when the last complete list was requested
 
 	// Machines that holders reported as faulty or slow, set by receiveStatus.
@@ -155,8 +155,8 @@
 	}
 }
 
-// writeCandidacy tries to write the leader's key. The replicated records show whether it
-// succeeded.
+// writeCandidacy tries to write the leader's key. Whether it succeeded is read from the
+// replicated records.
 func (n *Node) writeCandidacy(ctx context.Context, candidacy *protocol.Txn) {
 	if candidacy == nil {
 		return
@@ -212,7 +212,7 @@
 }
 
 // sendGrant sends a grant. The workers of a shard without a holder get no answers until
-// the shard has a new one, so a grant of a shard is hedged.
+// a new holder is granted the shard, so a grant of a shard is hedged.
 func (n *Node) sendGrant(ctx context.Context, plan *grantPlan) (uint64, error) {
 	if plan.changes.shard != nil {
 		return n.store.HedgedTxn(ctx, plan.txn)
--- a/internal/coordination/machine_inventory.go
+++ b/internal/coordination/machine_inventory.go
@@ -204,13 +204,13 @@
 	}
 }
 
-// findRemoved finds machines that the list shows as failed, or that no longer
+// findRemoved finds machines that the list marks as failed, or that no longer
 // exist. Those that a shard has are reported to its holder; others that no
 // longer exist are removed.
 func (l *leadership) findRemoved(list machineList, shardOfMachine map[string]int) {
 	l.failed = map[string]bool{}
 	for id, machine := range l.machines {
-		removed := list.showsRemoved(machine)
+		removed := list.confirmsRemoval(machine)
 		_, granted := shardOfMachine[id]
 		if removed && !granted {
 			l.dropMachine(id)
@@ -220,8 +220,8 @@
 	}
 }
 
-// showsRemoved reports whether the list proves that a machine no longer exists.
-func (list *machineList) showsRemoved(machine *cloudMachine) bool {
+// confirmsRemoval reports whether the list proves that a machine no longer exists.
+func (list *machineList) confirmsRemoval(machine *cloudMachine) bool {
 	if _, listed := list.machines[machine.id]; listed || machine.firstListedAt.IsZero() {
 		return false
 	}
--- a/internal/coordination/migration_to_room.go
+++ b/internal/coordination/migration_to_room.go
@@ -15,18 +15,18 @@
 // shard, so the job is moved to the machine's, by the same write as every migration
 // (job_migration.go). This file only selects the job and the target shard.
 //
-// A job with running tasks can't migrate. It is drained first: no more of its
-// tasks are placed in its shard, and it migrates once its last attempt has ended.
+// A job with running tasks can't migrate. It is drained first: its pending tasks
+// are not placed in its shard, and it migrates once its last attempt has ended.
 // Draining starts only if that is expected soon, and is cancelled if it takes
 // longer.
 
 const (
 	// migrationCheckInterval is the interval of checks for such jobs, and so the
-	// minimum time between two migrations from a shard: a status shows spare
+	// minimum time between two migrations from a shard: a status reports spare
 	// capacity as taken only after the migrated job has arrived and was placed.
 	migrationCheckInterval = 4 * statusInterval
 	// migrationWaitHeartbeats is the minimum number of heartbeat intervals that a job
-	// waits before it migrates: capacity that an ended task frees shows within one.
+	// waits before it migrates: capacity that an ended task frees is reported within one.
 	migrationWaitHeartbeats = 2
 	// drainWaitHeartbeats is the same for a job with running tasks, which is drained
 	// before it migrates.
@@ -139,21 +139,21 @@
 
 const (
 	noStayReason            stayReason = ""              // none: the job migrates
-	stayGang                stayReason = "gang"          // statuses do not show whether all tasks of the gang fit elsewhere
+	stayGang                stayReason = "gang"          // statuses do not report whether all tasks of the gang fit elsewhere
 	stayNoCapacityElsewhere stayReason = "no room"       // no other shard has capacity for it
 	stayOwnCapacity         stayReason = "own room"      // its own shard has capacity for as many of its tasks
 	stayTeamAtLimit         stayReason = "team at limit" // no shard may start more of the team's tasks
 	stayDrainTimeout        stayReason = "tasks run"     // its running attempts did not end within the draining time
 )
 
-// cancelDraining ends the draining of the job, whose waiting time starts anew.
+// cancelDraining ends the draining of the job and restarts its waiting time.
 func (j *job) cancelDraining(reason stayReason, now time.Time) {
 	slog.Debug("job stays", "job", j.id, "reason", reason, "running", len(j.attempts))
 	j.drainUntil, j.unplacedSince = time.Time{}, now
 }
 
-// isDraining reports whether no more tasks of the job are placed in this shard, so
-// that it can migrate once its attempts have ended.
+// isDraining reports whether the job is drained: none of its pending tasks is placed
+// in this shard, so that it can migrate once its attempts have ended.
 func (j *job) isDraining() bool { return !j.drainUntil.IsZero() }
 
 // canStartDraining reports whether a job with running tasks has waited for long
@@ -182,14 +182,14 @@
 		return 0, stayGang
 	}
 	var selected shardSpareCapacity
-	most := 0.0
+	maxCores := 0.0
 	for _, other := range r.shards {
-		if cores, fits := j.mostFreeCores(other.machines); fits && cores > most {
-			selected, most = other, cores
+		if cores, fits := j.maxFreeCores(other.machines); fits && cores > maxCores {
+			selected, maxCores = other, cores
 		}
 	}
 	switch {
-	case most == 0:
+	case maxCores == 0:
 		return 0, stayNoCapacityElsewhere
 	case r.sourceHasCapacity(j, selected.machines):
 		return 0, stayOwnCapacity
@@ -208,29 +208,29 @@
 // draining, and so would each task placed on the capacity that it freed.
 func (r *migrationTargets) sourceHasCapacity(j *job, elsewhere []spareCapacity) bool {
 	if j.isDraining() {
-		wanted := min(j.pendingTasks(), j.countFittingTasks(elsewhere))
-		return r.source.countPlaceableTasks(j, wanted) >= wanted
+		needed := min(j.pendingTasks(), j.countFittingTasks(elsewhere))
+		return r.source.countPlaceableTasks(j, needed) >= needed
 	}
 	if j.waitReason == waitsForMachine {
 		return false // the last plan found no machine on which it may place one of the tasks
 	}
-	_, fits := j.mostFreeCores(r.source.spareCapacity)
+	_, fits := j.maxFreeCores(r.source.spareCapacity)
 	return fits
 }
 
 // countPlaceableTasks counts the pending tasks of a job that fit on the shard's
 // machines, up to the given number.
-func (s *shard) countPlaceableTasks(j *job, wanted int) int {
+func (s *shard) countPlaceableTasks(j *job, limit int) int {
 	count := 0
 	for _, m := range s.sortedMachines() {
-		if count >= wanted {
+		if count >= limit {
 			break
 		}
 		if free := m.freeCapacity(); free.Fits(j.taskResources) && j.canPlaceOn(m) {
 			count += free.CountFitting(j.taskResources)
 		}
 	}
-	return min(count, wanted)
+	return min(count, limit)
 }
 
 // countFittingTasks counts the tasks of the job that fit on the given machines.
@@ -252,13 +252,13 @@
 	return isWithin(total.Cores, limit.Cores) && isWithin(total.GPUs, limit.GPUs)
 }
 
-// mostFreeCores returns the most free cores of any of the given machines that has
+// maxFreeCores returns the most free cores of any of the given machines that has
 // capacity for a task of the job; false if none has.
-func (j *job) mostFreeCores(machines []spareCapacity) (most float64, ok bool) {
+func (j *job) maxFreeCores(machines []spareCapacity) (maxCores float64, ok bool) {
 	for _, m := range machines {
 		if m.Free.Fits(j.taskResources) && j.allows(m.Kind.MachineType, m.Kind.Zone, m.Kind.Spot) {
-			most, ok = max(most, m.Free[placement.Cores]), true
+			maxCores, ok = max(maxCores, m.Free[placement.Cores]), true
 		}
 	}
-	return most, ok
+	return maxCores, ok
 }
--- a/internal/coordination/record_changes.go
+++ b/internal/coordination/record_changes.go
@@ -13,7 +13,7 @@
 	"reedtrack/internal/transport"
 )
 
-// onSync records that the local copy of the records shows everything committed
+// onSync records that the local copy of the records contains everything committed
 // before sentAt.
 func (n *Node) onSync(sentAt time.Time) {
 	n.mu.Lock()
@@ -39,10 +39,10 @@
 func (n *Node) handleChange(change clusterstate.Change) {
 	switch change := change.(type) {
 	case clusterstate.ControllerChange:
-		if n.session.past[change.Name] == nil {
-			n.session.past[change.Name] = &session.History{}
+		if n.session.histories[change.Name] == nil {
+			n.session.histories[change.Name] = &session.History{}
 		}
-		n.session.past[change.Name].Observe(change.Session)
+		n.session.histories[change.Name].Observe(change.Session)
 		n.heartbeatProxy.wakeWaitingHeartbeats()
 	case clusterstate.JobChange:
 		n.updateJob(change)
@@ -146,7 +146,7 @@
 	slog.Info("shard acquired", "shard", i, "fencing_token", s.fencingToken, "machine_count", len(s.machines), "jobs", len(s.jobs))
 }
 
-// newJob returns a job as the records show it, without attempts.
+// newJob returns a job built from its record, without attempts.
 func (n *Node) newJob(jr *clusterstate.JobRecord) *job {
 	done, _ := n.records.DoneTasks(jr)
 	return n.newJobWithDone(jr, done)
--- a/internal/coordination/shard_selection.go
+++ b/internal/coordination/shard_selection.go
@@ -13,12 +13,12 @@
 
 // maxPendingTime is how long a job that this controller has assigned to a shard counts
 // towards the shard's demand before its record appears; after that its write is assumed to
-// have failed. It is twice the time that a committed write may take to show, which leaves
-// the same time for the write itself.
+// have failed. It is twice the time that a committed write may take to appear in the
+// local copy, which leaves the same time for the write itself.
 const maxPendingTime = 2 * maxApplyDelay
 
-// pendingJob is a job that this controller has assigned to a shard and whose record does
-// not show yet.
+// pendingJob is a job that this controller has assigned to a shard and whose record is
+// not in the local copy yet.
 type pendingJob struct {
 	demand  demand
 	shard   int
@@ -141,7 +141,7 @@
 // for the grant records to hold all machines, and skips shards whose holders are overloaded:
 // work that one shard can serve stays together, since machines split among shards are left
 // partly empty in each. Of the open shards it selects the one with the smallest shortage
-// or, if no more machines are available, the lowest load.
+// or, if no further machines are available, the lowest load.
 func (n *Node) selectShard(j *protocol.Job, now time.Time) int {
 	summary := n.summarizeDemand(now)
 	jobDemand := n.demandOf(j, j.Tasks)
--- a/internal/coordination/task_attempt.go
+++ b/internal/coordination/task_attempt.go
@@ -30,9 +30,8 @@
 //	            has been sent yet
 //	start sent  startCommands, or buildMessage for a direct message: it may be on
 //	            the machine from now on
-//	reported    updateAttempt: a heartbeat lists it; status shows whether it is
-//	            starting or running. An attempt that an earlier holder placed
-//	            begins here, see adoptAttempt.
+//	reported    updateAttempt: a heartbeat lists it; its status is starting or running.
+//	            An attempt that an earlier holder placed begins here, see adoptAttempt.
 //	dropped     dropAttempt: it is certainly not, or no longer, on the machine,
 //	            and the task is pending again unless it completed
 //
@@ -227,7 +226,7 @@
 // dropAbsentAttempts drops attempts that a heartbeat must list but does not. A
 // worker has one heartbeat in flight at a time. If an earlier answer carried
 // an attempt's start and the worker does not list the attempt now, it has
-// dropped it with that answer or forgotten it. token is the newest fencing
+// discarded it with that answer or no longer keeps it. token is the newest fencing
 // token that the worker has received.
 func (s *shard) dropAbsentAttempts(m *machine, listed map[taskKey]bool, token uint64) {
 	for key, attempt := range m.attempts {
