--- a/internal/coordination/delegation_delay_order_test.go
+++ b/internal/coordination/delegation_delay_order_test.go
@@ -166,10 +166,10 @@
 			return false
 		}
 	}
-	hasLanded := slices.ContainsFunc(o.lateCommits, func(at time.Duration) bool { return at > o.executedAfter })
-	mostInTheWay := slices.Max(append(slices.Collect(maps.Values(o.precedingWrites)), 0))
-	return len(o.machines) > 0 && (len(o.unanswered) == 0 || hasLanded) &&
-		mostInTheWay >= min(len(o.competingWrites), 2) && (o.deniedController == "" || o.redirectsByMuted > 0)
+	hasLateCommit := slices.ContainsFunc(o.lateCommits, func(at time.Duration) bool { return at > o.executedAfter })
+	maxPrecedingWrites := slices.Max(append(slices.Collect(maps.Values(o.precedingWrites)), 0))
+	return len(o.machines) > 0 && (len(o.unanswered) == 0 || hasLateCommit) &&
+		maxPrecedingWrites >= min(len(o.competingWrites), 2) && (o.deniedController == "" || o.redirectsByMuted > 0)
 }
 
 // recordLeftoverRecords records which delegations and acknowledgements exist after all
--- a/internal/coordination/dependencies_test.go
+++ b/internal/coordination/dependencies_test.go
@@ -75,9 +75,9 @@
 	if state := n.records.Jobs["wk-1"].Dependencies; state.Urgency != protocol.PriorityLow || !math.IsInf(state.DeadlineMS, 1) {
 		t.Fatalf("without dependents: %+v", state)
 	}
-	dueSeconds := 100.0
+	deadlineSeconds := 100.0
 	applyLiveJob(n, 6, protocol.Job{ID: "wk-2", Priority: "normal", EstimatedSeconds: 20, DependsOn: []string{"wk-1"}})
-	applyLiveJob(n, 7, protocol.Job{ID: "wk-3", Priority: "high", EstimatedSeconds: 5, DeadlineSeconds: &dueSeconds, DependsOn: []string{"wk-2"}})
+	applyLiveJob(n, 7, protocol.Job{ID: "wk-3", Priority: "high", EstimatedSeconds: 5, DeadlineSeconds: &deadlineSeconds, DependsOn: []string{"wk-2"}})
 	acceptedMS := float64(n.records.Jobs["wk-3"].Record.AcceptedAtMS)
 	if state := n.records.Jobs["wk-1"].Dependencies; state.Urgency != protocol.PriorityHigh || state.DeadlineMS != acceptedMS+100e3-5e3-20e3 {
 		t.Errorf("%+v, due 75 s from %f", state, acceptedMS)
--- a/internal/coordination/heartbeat_relay_test.go
+++ b/internal/coordination/heartbeat_relay_test.go
@@ -91,14 +91,14 @@
 	return &protocol.Heartbeat{Machine: "a", Address: "a:1", MachineType: "small", Zone: "a", Session: 1, Sequence: sequence, FencingToken: 2}
 }
 
-// pass advances the clock; reaches tells whether the relay can reach the holder
+// advanceClock advances the clock; reaches tells whether the relay can reach the holder
 // afterwards.
-func (p *relayPair) pass(duration time.Duration, reaches bool) {
+func (p *relayPair) advanceClock(duration time.Duration, holderReachable bool) {
 	p.now = p.now.Add(duration)
 	for _, n := range []*Node{p.holder, p.relay} {
 		n.records.SyncedAt = p.now
 	}
-	if reaches {
+	if holderReachable {
 		p.relay.heartbeatProxy.lastReached["n0"] = p.now
 	}
 }
@@ -123,9 +123,9 @@
 	if heartbeat, _ := p.machine.exchange.Sequences(); heartbeat != 2 || !p.machine.lastAnswered.Equal(p.now) {
 		t.Error("the holder does not count the heartbeat as its own")
 	}
-	p.pass(3*time.Second, true)
+	p.advanceClock(3*time.Second, true)
 	checkRedirect(t, "the next heartbeat", p.relay.Heartbeat(p.heartbeat(3)))
-	p.pass(4*time.Second, true)
+	p.advanceClock(4*time.Second, true)
 	if answer := p.relay.Heartbeat(p.heartbeat(4)); answer.Status != http.StatusOK {
 		t.Errorf("not relayed after the interval: %+v", answer)
 	}
@@ -138,7 +138,7 @@
 	p.peer.err = errors.New("link is busy")
 	checkRedirect(t, "the call fails", p.relay.Heartbeat(p.heartbeat(2)))
 	p = newRelayPair(t, storage.SchemaHeartbeatRelays)
-	p.pass(unreachableAfter, false)
+	p.advanceClock(unreachableAfter, false)
 	checkRedirect(t, "the holder is unreachable", p.relay.Heartbeat(p.heartbeat(2)))
 	if p.peer.calls != 0 {
 		t.Error("an unreachable holder is called")
@@ -212,10 +212,10 @@
 	slog.SetDefault(slog.New(slog.NewTextHandler(&log, nil)))
 	defer slog.SetDefault(previous)
 	p := newRelayPair(t, storage.SchemaHeartbeatRelays)
-	past := &session.History{}
-	past.Observe(3)
-	past.Observe(5)
-	p.holder.session.past["n1"] = past
+	sessionHistory := &session.History{}
+	sessionHistory.Observe(3)
+	sessionHistory.Observe(5)
+	p.holder.session.past["n1"] = sessionHistory
 	valid := RelayedHeartbeat{From: "n1", Session: 5, Hops: relayHopCount, Report: *p.heartbeat(2)}
 	for reason, change := range map[string]func(*RelayedHeartbeat){
 		"unknown controller": func(r *RelayedHeartbeat) { r.From = "n7" },
--- a/internal/coordination/model_check_test.go
+++ b/internal/coordination/model_check_test.go
@@ -292,12 +292,12 @@
 	}
 	isEmpty := len(m.attempts) == 0 || x.fault == faultReleasesNonEmpty
 	if s == x.holder && x.other == nil && x.bounds.releases > 0 && m.isReconciled() && m.hasReported() && isEmpty && len(m.orphans) == 0 {
-		events["hand back "+at] = func() { x.releaseAndGrantAgain(at, s, m) }
+		events["hand back "+at] = func() { x.moveMachineToOtherShard(at, s, m) }
 	}
 }
 
-// releaseAndGrantAgain moves a machine from the holder's shard to another shard.
-func (x *explorer) releaseAndGrantAgain(name string, s *shard, m *machine) {
+// moveMachineToOtherShard moves a machine from the holder's shard to another shard.
+func (x *explorer) moveMachineToOtherShard(name string, s *shard, m *machine) {
 	for _, attempt := range m.attempts {
 		s.dropAttempt(attempt)
 	}
--- a/internal/coordination/process_pause_test.go
+++ b/internal/coordination/process_pause_test.go
@@ -9,7 +9,7 @@
 // Guards against a holder that steps down after its process was paused: it received
 // nothing from the workers or the key-value store, which says nothing about the workers.
 func TestHolderKeepsSessionAfterPause(t *testing.T) {
-	const standstill = 6 * time.Second // longer than a step-down takes, shorter than the lease
+	const pauseDuration = 6 * time.Second // longer than a step-down takes, shorter than the lease
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(3, nil)
 		stop := w.open()
@@ -20,11 +20,11 @@
 		w.mu.Lock()
 		for _, n := range w.nodes {
 			if n.node == holder {
-				n.pausedUntil = time.Now().Add(standstill)
+				n.pausedUntil = time.Now().Add(pauseDuration)
 			}
 		}
 		w.mu.Unlock()
-		time.Sleep(standstill + 5*time.Second)
+		time.Sleep(pauseDuration + 5*time.Second)
 		sessionAfter, shardsAfter := sessionAndShards(holder)
 		if sessionAfter != session || shardsAfter != shards {
 			t.Errorf("session %d with %d shards before, %d with %d after", session, shards, sessionAfter, shardsAfter)
--- a/internal/coordination/sim_delegation_order_test.go
+++ b/internal/coordination/sim_delegation_order_test.go
@@ -107,15 +107,15 @@
 	o.attempts[write]++
 	attempt := o.attempts[write]
 	o.recordSent(sender, kind, txn)
-	isOther := slices.Contains(o.competingWrites, kind) && !o.sent[sender+string(kind)]
-	if isOther && o.isHeld(sender, kind) || kind == delegationWrite && o.deniedController == sender {
+	isCompeting := slices.Contains(o.competingWrites, kind) && !o.sent[sender+string(kind)]
+	if isCompeting && o.isHeld(sender, kind) || kind == delegationWrite && o.deniedController == sender {
 		return forcedOutcome{refused: true}
 	}
 	outcome := forcedOutcome{}
-	if attempt <= o.unanswered[kind] || isOther && o.isDue(sender) {
+	if attempt <= o.unanswered[kind] || isCompeting && o.isCompetingWriteDue(sender) {
 		outcome.late = lateWriteDelay
 		o.forced[kind] = max(o.forced[kind], attempt)
-		if isOther {
+		if isCompeting {
 			o.sent[sender+string(kind)] = true
 			o.precedingWrites[sender]++
 		}
@@ -144,9 +144,9 @@
 	return o.concerns(sender) && since < competingWriteDelay
 }
 
-// isDue reports whether another kind of write may now precede a delegation or an
+// isCompetingWriteDue reports whether another kind of write may now precede a delegation or an
 // acknowledgement, starting within the last second before these are due.
-func (o *delayCaseRun) isDue(sender string) bool {
+func (o *delayCaseRun) isCompetingWriteDue(sender string) bool {
 	return o.concerns(sender) && o.sinceCut() >= competingWriteDelay && o.sinceCut() < maxProxyDelay
 }
 
--- a/internal/coordination/sim_waiting_test.go
+++ b/internal/coordination/sim_waiting_test.go
@@ -8,9 +8,9 @@
 	"reedtrack/internal/protocol"
 )
 
-// maxWaitBesideCapacity is how long a job may wait, once all faults are over, while a
+// maxWaitDespiteCapacity is how long a job may wait, once all faults are over, while a
 // suitable machine has room and its team is under its quota.
-const maxWaitBesideCapacity = 90 * time.Second
+const maxWaitDespiteCapacity = 90 * time.Second
 
 // waitingCheck tracks the jobs that wait although a machine has room for them.
 type waitingCheck struct {
@@ -59,8 +59,8 @@
 	return n
 }
 
-// machineWithRoom returns a machine with room for one more task of a job, or nil.
-func (w *world) machineWithRoom(j *protocol.Job, o occupancy) *simWorker {
+// machineWithCapacity returns a machine with room for one more task of a job, or nil.
+func (w *world) machineWithCapacity(j *protocol.Job, o occupancy) *simWorker {
 	for _, team := range w.settings.Deployment.Teams {
 		if team.Name == j.Team && o.used[j.Team]+j.Cores > team.CPUsMax+1e-9 {
 			return nil
@@ -105,19 +105,19 @@
 	for id := range w.accepted {
 		j := w.specs[id]
 		blocked := slices.ContainsFunc(j.DependsOn, func(dep string) bool { return !w.allDone(dep) })
-		var room *simWorker
+		var candidate *simWorker
 		if !blocked && w.finalStatus[id] == "" && !w.cancelled(id) && w.waitingTasks(j, o) > 0 {
-			room = w.machineWithRoom(j, o)
+			candidate = w.machineWithCapacity(j, o)
 		}
 		since, known := w.waiting.since[id]
 		switch {
-		case room == nil:
+		case candidate == nil:
 			delete(w.waiting.since, id)
 		case !known:
 			w.waiting.since[id] = now
-		case now.Sub(since) > maxWaitBesideCapacity:
+		case now.Sub(since) > maxWaitDespiteCapacity:
 			w.violationf("left waiting: %s for %v, %d of %d tasks, %g cores of %s, room on %s (%v) of %g, team uses %g", id, now.Sub(since), w.waitingTasks(j, o), j.Tasks,
-				j.Cores, j.Team, room.id, room.request, o.free[room.id], o.used[j.Team])
+				j.Cores, j.Team, candidate.id, candidate.request, o.free[candidate.id], o.used[j.Team])
 			w.spawn(func() { w.explain(id) })
 			w.waiting.since[id] = now.Add(time.Hour) // reported once
 		}
