--- a/internal/coordination/delegation_fences_test.go
+++ b/internal/coordination/delegation_fences_test.go
@@ -62,8 +62,8 @@
 
 // Guards against a machine with an unanswered start that is left to its unreachable holder
 // (issue 46). The machine is acknowledged with a newer token, which the holder uses once
-// its records show it. A heartbeat with that token that does not list the attempt proves
-// that the start was not executed.
+// its records contain it. A heartbeat with that token that does not list the attempt
+// proves that the start was not executed.
 func TestUnansweredStartIsFenced(t *testing.T) {
 	n, s, m := newFencedHolder(t, storage.SchemaMachineFences)
 	txns := n.acknowledgementTxns()
@@ -76,7 +76,7 @@
 		t.Fatalf("the token is not minted with the acknowledgement: %+v", txns)
 	}
 	if s.machineToken(m) != 2 {
-		t.Error("the token is used before it is known to be minted")
+		t.Error("the token is used before the records confirm that it was minted")
 	}
 	applyRecord(t, n, storage.FencingTokenKey, storage.FencingTokenCounter{Last: 7}, 13)
 	applyRecord(t, n, storage.DelegationAckKey(testDelegation), ack, 13)
@@ -200,7 +200,7 @@
 	for acknowledged := 0; acknowledged < machines; turns++ {
 		txns := n.acknowledgementTxns()
 		if len(txns) == 0 || turns > records {
-			t.Fatalf("%d of %d machines acknowledged after %d turns", acknowledged, machines, turns)
+			t.Fatalf("%d of %d machines acknowledged after %d iterations", acknowledged, machines, turns)
 		}
 		for _, txn := range txns {
 			for _, write := range txn.Writes {
@@ -217,5 +217,5 @@
 			acknowledged += len(ack.Value.Machines)
 		}
 	}
-	t.Logf("%d records, %d turns", records, turns)
+	t.Logf("%d records, %d iterations", records, turns)
 }
--- a/internal/coordination/dependencies_test.go
+++ b/internal/coordination/dependencies_test.go
@@ -27,8 +27,8 @@
 	n.applyChange(storage.JobKey(j.ID), raw, revision)
 }
 
-// A job stays blocked until every dependency has a stored end record that says
-// it completed. A missing record is not enough, since the job may have been
+// A job stays blocked until every dependency has a stored end record with
+// the status done. A missing record is not enough, since the job may have been
 // cancelled, and neither is a heartbeat.
 func TestBlockedUntilStoredEnds(t *testing.T) {
 	w := newWorld(1, nil)
--- a/internal/coordination/failover_delay_test.go
+++ b/internal/coordination/failover_delay_test.go
@@ -120,7 +120,7 @@
 	}
 }
 
-// endSession stops a controller for good and revokes its lease.
+// endSession stops a controller permanently and revokes its lease.
 func (w *world) endSession(i int) {
 	n := w.node(i)
 	n.mu.Lock()
--- a/internal/coordination/failure_detection_test.go
+++ b/internal/coordination/failure_detection_test.go
@@ -111,7 +111,7 @@
 			t.Errorf("%d isolated: %d tasks started again, %d machines requested, the isolated one holds %d shards and its lease: %v", isolatedCount, restarted, requested, shards, holdsLease)
 		}
 		if !stepsDown && restarted < 4 {
-			t.Errorf("without stepping down only %d tasks were restarted: the test proves nothing", restarted)
+			t.Errorf("without stepping down only %d tasks were restarted: the test is inconclusive", restarted)
 		}
 		for _, violation := range w.violations {
 			t.Error(violation)
@@ -296,8 +296,8 @@
 }
 
 // For tasks on machines that are about to be reclaimed and that can't finish before,
-// machines are requested during the notice unless there is room. Repeated planning
-// requests no more machines.
+// machines are requested during the notice unless there is free capacity. Repeated
+// planning requests no further machines.
 func TestScaleOutDuringReclaimNotice(t *testing.T) {
 	now := time.Now()
 	node, s, input, report := newDetectionShard(2)
--- a/internal/coordination/guards_test.go
+++ b/internal/coordination/guards_test.go
@@ -37,7 +37,7 @@
 	return n, s, rec, sent
 }
 
-// A lowered share is not raised until a newer record says so: the write that lowers
+// A lowered share is not raised until a newer record raises it: the write that lowers
 // it may be committed long after its sender timed out.
 func TestLoweredShareStays(t *testing.T) {
 	n, s, rec, _ := shardWithUnusedShare()
@@ -58,7 +58,7 @@
 }
 
 // A write that lowered a share and was lost is repeated, also when no shard needs the
-// quota any more: the share is not used meanwhile.
+// quota any longer: the share is not used until the write is committed.
 func TestLostLoweringIsRepeated(t *testing.T) {
 	n, s, _, sent := shardWithUnusedShare()
 	time.Sleep(700 * time.Millisecond) // a process begins with a small write budget
@@ -150,11 +150,11 @@
 	}
 	s.receiveHeartbeat(m, &protocol.Heartbeat{Machine: "a", Session: 1, Sequence: 2, FencingToken: 2}, now)
 	if len(j.attempts) != 0 || s.used["red"].Cores != 0 {
-		t.Fatal("the lost start still counts")
+		t.Fatal("the attempt of the lost start was not dropped")
 	}
 	s.place(j, j.takePendingTask(), m)
 	if second := s.buildCommands(m, now); len(second) != 1 || second[0].Attempt <= first[0].Attempt {
-		t.Errorf("attempt numbers do not grow: %v then %v", first, second)
+		t.Errorf("attempt numbers do not increase: %v then %v", first, second)
 	}
 }
 
@@ -283,9 +283,9 @@
 	if len(answers) != 0 {
 		t.Fatal("the migration was not repeated")
 	}
-	job(0, 12) // another write came first: the migration has failed for good
+	job(0, 12) // another write was committed first: the migration can no longer be committed
 	if len(s.orderQueue(p, time.Now())) != 1 {
-		t.Error("not placed though its migration has failed for good")
+		t.Error("not placed though its migration can no longer be committed")
 	}
 	job(1, 14)
 	if s.jobs["wk-1"] != nil {
@@ -350,7 +350,7 @@
 
 // A direct start without an answer binds its attempt to the worker. The next heartbeat
 // response repeats the same attempt. After the attempt has ended, the worker is not
-// told to clear it while the message may still arrive, nor is the task started there
+// instructed to clear it while the message may still arrive, nor is the task started there
 // again. A new session lifts both restrictions.
 func TestUnansweredDirectStartStaysBound(t *testing.T) {
 	now := time.Now()
@@ -364,7 +364,7 @@
 	}
 	f := directTarget{s, m}.buildMessage(now)
 	if _, again := m.directTarget(now); again || len(f.payload.Commands) != 1 {
-		t.Fatalf("sends %v and more at once", f.payload.Commands)
+		t.Fatalf("sends %v, want one command; another message could be sent: %v", f.payload.Commands, again)
 	}
 	s.finishDirect(&f, DirectAnswer{}, now)
 	s.receiveHeartbeat(m, &protocol.Heartbeat{Machine: "a", Session: 1, Sequence: 2, FencingToken: 2}, now)
--- a/internal/coordination/heartbeat_relay_test.go
+++ b/internal/coordination/heartbeat_relay_test.go
@@ -91,8 +91,8 @@
 	return &protocol.Heartbeat{Machine: "a", Address: "a:1", MachineType: "small", Zone: "a", Session: 1, Sequence: sequence, FencingToken: 2}
 }
 
-// advanceClock advances the clock; reaches tells whether the relay can reach the holder
-// afterwards.
+// advanceClock advances the clock; holderReachable specifies whether the relay
+// reaches the holder at the new time.
 func (p *relayPair) advanceClock(duration time.Duration, holderReachable bool) {
 	p.now = p.now.Add(duration)
 	for _, n := range []*Node{p.holder, p.relay} {
@@ -121,7 +121,7 @@
 		t.Fatalf("not the holder's answer: %+v", answer)
 	}
 	if heartbeat, _ := p.machine.exchange.Sequences(); heartbeat != 2 || !p.machine.lastAnswered.Equal(p.now) {
-		t.Error("the holder does not count the heartbeat as its own")
+		t.Error("the holder does not record the relayed heartbeat as received")
 	}
 	p.advanceClock(3*time.Second, true)
 	checkRedirect(t, "the next heartbeat", p.relay.Heartbeat(p.heartbeat(3)))
@@ -176,7 +176,7 @@
 	p := newRelayPair(t, storage.SchemaHeartbeatRelays)
 	p.holder.session.leaseValidUntil = p.now
 	if answer := p.relay.Heartbeat(p.heartbeat(2)); answer.Status != http.StatusServiceUnavailable {
-		t.Errorf("the holder's lease has passed: %+v", answer)
+		t.Errorf("the holder's lease has expired: %+v", answer)
 	}
 	p = newRelayPair(t, storage.SchemaHeartbeatRelays)
 	delete(p.holder.shards, 0)
@@ -236,10 +236,10 @@
 		}
 	}
 	if heartbeat, _ := p.machine.exchange.Sequences(); heartbeat != 1 {
-		t.Error("a refused heartbeat changes what the holder knows")
+		t.Error("a refused heartbeat changes the holder's state")
 	}
 	if answer := p.holder.receiveRelayedHeartbeat(&valid); answer.Status != http.StatusOK {
-		t.Errorf("a valid one: %+v", answer)
+		t.Errorf("the valid heartbeat: %+v", answer)
 	}
 }
 
@@ -274,9 +274,9 @@
 		}
 	}
 	if relay.begin("another", interval, now) {
-		t.Error("more machines than the bound")
+		t.Error("more machines are relayed than the bound allows")
 	}
 	if !relay.begin("another", interval, now.Add(interval+1)) || len(relay.relayedAt) != 1 {
-		t.Errorf("%d machines are remembered after the interval", len(relay.relayedAt))
+		t.Errorf("%d machines are recorded after the interval, want 1", len(relay.relayedAt))
 	}
 }
--- a/internal/coordination/invariants_test.go
+++ b/internal/coordination/invariants_test.go
@@ -108,7 +108,7 @@
 }
 
 // With a guard disabled the checker finds violations: a holder that considers a worker
-// gone after three seconds of silence starts tasks twice, one that considers any job
+// dead after three seconds of silence starts tasks twice, one that considers any job
 // done starts dependents too early, and one that considers cancelled jobs done lets
 // their dependents run.
 func TestCheckerDetectsViolations(t *testing.T) {
--- a/internal/coordination/isolation_during_partition_test.go
+++ b/internal/coordination/isolation_during_partition_test.go
@@ -51,7 +51,7 @@
 			}
 			n.records.DelegatedMachines[s.index] = delegated
 			if steppedDown := n.stepsDownWithin(c.silence, now); steppedDown != c.stepsDown {
-				t.Errorf("steps down %v", steppedDown)
+				t.Errorf("stepped down: %v, want %v", steppedDown, c.stepsDown)
 			}
 		})
 	}
@@ -92,7 +92,7 @@
 			}
 			n.records.DelegatedMachines[s.index] = delegated
 			if steppedDown := n.stepsDownWithin(c.silence, now); steppedDown != c.stepsDown {
-				t.Errorf("steps down %v", steppedDown)
+				t.Errorf("stepped down: %v, want %v", steppedDown, c.stepsDown)
 			}
 		})
 	}
--- a/internal/coordination/late_start_test.go
+++ b/internal/coordination/late_start_test.go
@@ -10,9 +10,9 @@
 // Guards against a lost answer to a direct start that keeps the whole job off the machine.
 // The start may still arrive later, which conflicts only with another attempt of the same
 // task, and a completed task has none. Before, no task of the job was placed on the machine
-// for as long as it was leased, and jobs waited beside a nearly empty machine of their own
+// for as long as it was leased, and jobs waited despite a nearly empty machine in their own
 // shard: wk-000035 in 5 of 240 trial runs of the scenario of slow links, with a limit of 40 s
-// instead of 90 s. In four of them a machine with room had a line such as
+// instead of 90 s. In four of them a machine with free capacity had a line such as
 // `host-000009 big used 8/16 schedulable true, may arrive [wk-000035/3 ...]`.
 func TestLostAnswerKeepsNoOtherTaskAway(t *testing.T) {
 	now := time.Now()
@@ -20,7 +20,7 @@
 	j.spec.Tasks = 2
 	attempt := startUnanswered(s, m, j, protocol.CauseDone, now)
 	if len(s.buildCommands(m, now)) != 0 || !m.exchange.StartMayArrive(attempt.key) {
-		t.Fatal("the machine is told to clear the attempt although its start may still arrive")
+		t.Fatal("the machine is instructed to clear the attempt although its start may still arrive")
 	}
 	if !j.done.Contains(0) || j.pendingTasks() != 1 {
 		t.Fatalf("%d tasks pending", j.pendingTasks())
--- a/internal/coordination/leaving_own_room_test.go
+++ b/internal/coordination/leaving_own_room_test.go
@@ -34,7 +34,7 @@
 
 // Guards against a job that stops draining whenever one of its own tasks ends: the freed
 // capacity counted as capacity for the job, another of its tasks took it, and the job had
-// to wait anew though another shard had capacity for four tasks all the while (issue 46,
+// to wait again though another shard had capacity for four tasks throughout (issue 46,
 // seen four times in 90 s for one job).
 func TestEndedTasksDoNotCancelDraining(t *testing.T) {
 	w, m := newDrainingJob()
@@ -75,7 +75,7 @@
 }
 
 // Guards against a job that stays for free capacity in its own shard that it may not use
-// (issue 46): its last task waited beside 2 free cores on a machine where a copy of the
+// (issue 46): its last task waited despite 2 free cores on a machine where a copy of the
 // task's own start order might still arrive, while another shard had spare capacity.
 func TestUnusableCapacityDoesNotCancelDraining(t *testing.T) {
 	w, m := newDrainingJob()
--- a/internal/coordination/limits_test.go
+++ b/internal/coordination/limits_test.go
@@ -96,7 +96,7 @@
 		s.fillMachine(m, p.teams)
 	}
 	if used := s.used["red"].Cores; used > 75 {
-		t.Errorf("uses %g although half belongs to another shard", used)
+		t.Errorf("uses %g although half is the share of another shard", used)
 	}
 	n.peerStatus["n1"].Shards[0].Desired = nil
 	n.limitToFairShares(s)
--- a/internal/coordination/lost_answers_test.go
+++ b/internal/coordination/lost_answers_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// A worker waits 4 s for an answer that is lost. This lease has room for that many such
+// A worker waits 4 s for an answer that is lost. This lease allows for that many such
 // waits after the longest heartbeat interval, but not for a detour back to the holder after
 // each of them.
 const (
--- a/internal/coordination/model_check_test.go
+++ b/internal/coordination/model_check_test.go
@@ -21,7 +21,7 @@
 // that loses and delays messages. The one task of one core fits on either worker.
 //
 // In every state it determines which attempts run or could still be started by a message
-// in flight. The holder that may place the task must know all of them; then no task runs
+// in flight. The holder that may place the task must track all of them; then no task runs
 // twice, beyond a quota, or after a confirmed cancellation.
 
 const modelWorkerCount = 2
@@ -50,7 +50,7 @@
 	to       int
 	message  directMessage
 	payload  protocol.DirectCommands
-	timedOut bool          // its sender waits no longer
+	timedOut bool          // its sender no longer waits
 	reply    *DirectAnswer // the answer in flight, once the message was executed
 	holder   *shard
 }
@@ -124,7 +124,7 @@
 // modelWorkerName returns the name of a worker and its machine.
 func modelWorkerName(i int) string { return string(rune('a' + i)) }
 
-// modelMachineSize is the size of every machine: room for the one task.
+// modelMachineSize is the size of every machine: capacity for the one task.
 func modelMachineSize(string) (placement.Resources, bool) { return placement.Resources{1, 0, 4}, true }
 
 // newHolder returns a holder of some machines under a new fencing token.
@@ -409,7 +409,7 @@
 	w.execute(o.Commands, x)
 }
 
-// answerByProxy renews a worker's lease and stops what is cancelled.
+// answerByProxy renews a worker's lease and stops the worker's cancelled tasks.
 func (x *explorer) answerByProxy(w *modelWorker, token uint64) {
 	if token < w.token {
 		return
@@ -508,7 +508,7 @@
 			continue // counts as fully used, and no unconfirmed job starts
 		}
 		if r := m.attempts[taskKey{"wk-1", 0}]; r == nil || r.number != c.attempt {
-			return fmt.Sprintf("attempt %d runs or can start on machine %s, and its holder does not know it", c.attempt, modelWorkerName(c.worker))
+			return fmt.Sprintf("attempt %d runs or can start on machine %s, and its holder does not track it", c.attempt, modelWorkerName(c.worker))
 		}
 	}
 	return ""
@@ -631,7 +631,7 @@
 	fmt.Sscan(os.Getenv("REEDTRACK_EXPLORE"), &maxStates)
 	for name, c := range map[string]struct {
 		bounds searchBounds
-		guards dispatch.DisabledGuards // disabled to show that the search detects it
+		guards dispatch.DisabledGuards // disabled to verify that the search finds a violation
 		fault  holderFault             // injected for the same purpose
 	}{
 		"messages lost and late": {searchBounds{sent: 2, attempts: 2, ends: 1, late: 1}, dispatch.WithoutBinding, faultNone},
--- a/internal/coordination/outage_gap_test.go
+++ b/internal/coordination/outage_gap_test.go
@@ -152,7 +152,7 @@
 				synctest.Test(t, func(t *testing.T) { w = g.play(t, uint64(i+1), nil) })
 				w.check(t)
 				if len(w.events["confirmed"]) == 0 && g.outageDelay >= time.Second {
-					t.Error("nothing was confirmed")
+					t.Error("no cancellation was confirmed")
 				}
 				reached <- len(w.events["confirmed while a controller is refused"]) > 0
 				longestPerGap <- w.longestAfterCancel
@@ -171,7 +171,7 @@
 			inGap++
 		}
 	}
-	// Shows that the bound is not needlessly loose: some task has to stay for at least
+	// Verifies that the bound is not needlessly loose: some task has to stay for at least
 	// a worker's lease.
 	if workers := config.Seconds(set.Deployment.Workers.LeaseS); longest < workers {
 		t.Errorf("longest time %v: no case came near the bound", longest)
--- a/internal/coordination/process_pause_test.go
+++ b/internal/coordination/process_pause_test.go
@@ -7,7 +7,8 @@
 )
 
 // Guards against a holder that steps down after its process was paused: it received
-// nothing from the workers or the key-value store, which says nothing about the workers.
+// nothing from the workers or the key-value store, which is no evidence that the workers
+// can't reach it.
 func TestHolderKeepsSessionAfterPause(t *testing.T) {
 	const pauseDuration = 6 * time.Second // longer than a step-down takes, shorter than the lease
 	synctest.Test(t, func(t *testing.T) {
--- a/internal/coordination/scenarios_test.go
+++ b/internal/coordination/scenarios_test.go
@@ -19,8 +19,8 @@
 	setUp     func(w *world)
 	adjustJob func(k int, j *protocol.Job, u *user)
 	script    []fault
-	// Minimum counts of events: a run in which the faults did not coincide proves
-	// nothing.
+	// Minimum counts of events: a run in which the faults did not coincide is
+	// inconclusive.
 	requiredEvents map[string]int
 	// Pairs of events that must have happened within a maximum gap.
 	eventPairs []eventPair
--- a/internal/coordination/schema_test.go
+++ b/internal/coordination/schema_test.go
@@ -17,7 +17,7 @@
 
 // Records of the previous version (testdata/production, written by its code) are read
 // without loss, and before the schema upgrade this version writes the same bytes: a field
-// that the other version does not know would be lost when it rewrites a record.
+// unknown to the other version would be lost when it rewrites a record.
 func TestPreviousVersionRecords(t *testing.T) {
 	for name, record := range map[string]any{
 		"job":       new(storage.Job),
@@ -71,7 +71,7 @@
 }
 
 // A grant in chunks is equivalent to one in a single record. A version without support for
-// chunks can't decode the head, so it never mistakes the shard for one without machines.
+// chunks can't decode the head, so it never treats the shard as one without machines.
 func TestSplitGrant(t *testing.T) {
 	w := newWorld(1, nil)
 	n := New(w.settings, w.settings.Defaults(), nil, nil, nil, nil)
@@ -107,7 +107,7 @@
 		} `json:"blocks"`
 	}
 	if json.Unmarshal(head, &asFormerVersion) == nil {
-		t.Error("the former version would take the shard for one without machines")
+		t.Error("the previous version would decode the grant as one without machines")
 	}
 	// A chunk that can't be decoded leaves the shard unchanged.
 	n.applyChange(storage.GrantChunkKey(0, 0), []byte(`{"of":7,"blocks":{"names":["0x"]}}`), revision)
@@ -117,7 +117,7 @@
 	// A newer schema version is not supported.
 	n.applyChange(storage.SchemaVersionKey, fmt.Appendf(nil, `{"form":%d}`, storage.SchemaLatest+1), revision+1)
 	if n.records.SupportsSchema() {
-		t.Error("supports a schema that it doesn't know")
+		t.Error("supports an unknown schema version")
 	}
 }
 
--- a/internal/coordination/service_test.go
+++ b/internal/coordination/service_test.go
@@ -67,8 +67,8 @@
 }
 
 // Checks the answers to users from before the first lease until after an
-// outage. The user of an accepted job must never be told that it does not
-// exist.
+// outage. An answer to the user of an accepted job must never report that it
+// does not exist.
 func TestServiceAnswers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(1, nil)
@@ -189,6 +189,6 @@
 		t.Error("an old heartbeat was applied")
 	}
 	if order, _ := m.exchange.RecordHeartbeat(2, 9); len(m.orphans) != 0 || order != dispatch.Stale {
-		t.Error("an old heartbeat changed something")
+		t.Error("an old heartbeat changed the state")
 	}
 }
--- a/internal/coordination/session_test.go
+++ b/internal/coordination/session_test.go
@@ -91,7 +91,7 @@
 	})
 }
 
-// Guards against a controller that keeps renewing a lease that no key names any more, and
+// Guards against a controller that keeps renewing a lease that no key names any longer, and
 // is never granted anything again. Its key was overwritten, as by an unconditional late
 // write of the previous version, or deleted, as when the lease expires at the store only.
 // The controller stops acting at once and recovers with a new session.
@@ -111,7 +111,7 @@
 				holdsOldLease := n.holdsLease(n.now()) && n.session.id == before.Session
 				n.mu.Unlock()
 				if holdsOldLease {
-					t.Error("holds the lease though its key is gone")
+					t.Error("holds the lease though its key was overwritten or deleted")
 				}
 				time.Sleep(10 * time.Second)
 				n.mu.Lock()
@@ -226,6 +226,6 @@
 	}
 	n.ReceiveStatus(Status{From: "n1", Session: 9, HoldsLease: true})
 	if status := n.peerStatus["n1"]; status.Session != 9 {
-		t.Errorf("the status of a process whose key does not show yet was not applied: %+v", status)
+		t.Errorf("the status of a process whose key is not in the records yet was not applied: %+v", status)
 	}
 }
--- a/internal/coordination/sim_delegation_order_test.go
+++ b/internal/coordination/sim_delegation_order_test.go
@@ -144,8 +144,8 @@
 	return o.concerns(sender) && since < competingWriteDelay
 }
 
-// isCompetingWriteDue reports whether another kind of write may now precede a delegation or an
-// acknowledgement, starting within the last second before these are due.
+// isCompetingWriteDue reports whether another kind of write may now precede a delegation
+// or an acknowledgement, starting within the last second before these are due.
 func (o *delayCaseRun) isCompetingWriteDue(sender string) bool {
 	return o.concerns(sender) && o.sinceCut() >= competingWriteDelay && o.sinceCut() < maxProxyDelay
 }
--- a/internal/coordination/sim_faults_test.go
+++ b/internal/coordination/sim_faults_test.go
@@ -100,7 +100,7 @@
 // messages so that they are accepted as if the guard did not exist.
 type disabledGuards struct {
 	order      bool // no ordering of heartbeats: a late copy appears to be the newest
-	term       bool // no check of tokens: a late copy appears to know the newest
+	term       bool // no check of tokens: a late copy appears to carry the newest
 	conditions bool // transactions have no preconditions
 	reads      bool // users get answers from reads that are seconds old
 	proxyStops bool // proxies stop no tasks
--- a/internal/coordination/sim_users_test.go
+++ b/internal/coordination/sim_users_test.go
@@ -115,7 +115,7 @@
 	}
 }
 
-// knownBefore is what users had been told about a job when a request was sent.
+// knownBefore is what earlier answers had reported about a job when a request was sent.
 type knownBefore struct {
 	finalStatus string
 	accepted    bool
@@ -422,8 +422,8 @@
 	h.ops = append(h.ops, porcupine.Operation{Input: in, Output: a, Call: was.at.Sub(h.startedAt).Nanoseconds(), Return: end})
 }
 
-// jobModel is a job as users may observe it: unknown, then live, then done or cancelled
-// for good. A live job can become done by itself, and cancelled too if one of its
+// jobModel is a job as users may observe it: unknown, then live, then permanently done
+// or cancelled. A live job can become done by itself, and cancelled too if one of its
 // dependencies was.
 var jobModel = porcupine.NondeterministicModel{
 	Init: func() []any { return []any{""} },
--- a/internal/coordination/sim_waiting_test.go
+++ b/internal/coordination/sim_waiting_test.go
@@ -9,13 +9,13 @@
 )
 
 // maxWaitDespiteCapacity is how long a job may wait, once all faults are over, while a
-// suitable machine has room and its team is under its quota.
+// suitable machine has capacity and its team is under its quota.
 const maxWaitDespiteCapacity = 90 * time.Second
 
-// waitingCheck tracks the jobs that wait although a machine has room for them.
+// waitingCheck tracks the jobs that wait although a machine has capacity for them.
 type waitingCheck struct {
 	checkedAt    time.Time
-	since        map[string]time.Time // by job: since when a waiting task has had room
+	since        map[string]time.Time // by job: since when a machine has had capacity for a waiting task
 	explanations []string             // the holders' view of the jobs that waited too long
 }
 
@@ -59,7 +59,7 @@
 	return n
 }
 
-// machineWithCapacity returns a machine with room for one more task of a job, or nil.
+// machineWithCapacity returns a machine with capacity for one more task of a job, or nil.
 func (w *world) machineWithCapacity(j *protocol.Job, o occupancy) *simWorker {
 	for _, team := range w.settings.Deployment.Teams {
 		if team.Name == j.Team && o.used[j.Team]+j.Cores > team.CPUsMax+1e-9 {
@@ -97,7 +97,7 @@
 	return !j.Spread || same < (j.Tasks+1)/2
 }
 
-// checkWaiting looks for jobs that wait although there is room; the caller holds the
+// checkWaiting looks for jobs that wait although there is capacity; the caller holds the
 // world's lock.
 func (w *world) checkWaiting(now time.Time) {
 	w.waiting.checkedAt = now
@@ -116,7 +116,7 @@
 		case !known:
 			w.waiting.since[id] = now
 		case now.Sub(since) > maxWaitDespiteCapacity:
-			w.violationf("left waiting: %s for %v, %d of %d tasks, %g cores of %s, room on %s (%v) of %g, team uses %g", id, now.Sub(since), w.waitingTasks(j, o), j.Tasks,
+			w.violationf("left waiting: %s for %v, %d of %d tasks, %g cores of %s, capacity on %s (%v) of %g, team uses %g", id, now.Sub(since), w.waitingTasks(j, o), j.Tasks,
 				j.Cores, j.Team, candidate.id, candidate.request, o.free[candidate.id], o.used[j.Team])
 			w.spawn(func() { w.explain(id) })
 			w.waiting.since[id] = now.Add(time.Hour) // reported once
--- a/internal/coordination/sim_world_test.go
+++ b/internal/coordination/sim_world_test.go
@@ -458,7 +458,7 @@
 		n.mu.Lock()
 		shares += fmt.Sprintf(" %s holds lease %v leads %v:", n.settings.HostName, n.holdsLease(n.now()), n.leadership != nil)
 		for k, s := range n.shards {
-			shares += fmt.Sprintf(" shard %d reconciled %v shares %v record %v uses %v wants %v unreported %v smallest task %v startable %v;", k, s.reconciled, s.shares, n.records.Grants[k].Value.Quotas, s.used, s.desired, s.unreportedCapacity(), s.smallestTask, s.startable)
+			shares += fmt.Sprintf(" shard %d reconciled %v shares %v record %v uses %v desired %v unreported %v smallest task %v startable %v;", k, s.reconciled, s.shares, n.records.Grants[k].Value.Quotas, s.used, s.desired, s.unreportedCapacity(), s.smallestTask, s.startable)
 			for id, j := range s.jobs {
 				if j.pendingTasks() > 0 {
 					shares += fmt.Sprintf(" %s of %s waits with %d tasks of %g cores for %q since %s;", id, j.spec.Team, j.pendingTasks(), j.spec.Cores, j.waitReason, j.unplacedSince.Format(time.TimeOnly))
--- a/internal/coordination/waiting_worlds_test.go
+++ b/internal/coordination/waiting_worlds_test.go
@@ -18,9 +18,9 @@
 
 // Small worlds of two to four shards have more work than machines, a cloud with few
 // machines, and tight quotas. Once lost answers and slow links are over, no task waits for
-// 90 s while its team is under its limit and a suitable machine of any shard has room.
-// Failures found this way: quota shares stuck in shards without machines, jobs stuck in
-// shards without room, and jobs kept off machines by a lost answer (see
+// 90 s while its team is under its limit and a suitable machine of any shard has capacity.
+// Failures found this way: quota shares held by shards without machines, jobs waiting in
+// shards without capacity, and jobs kept off machines by a lost answer (see
 // docs/incidents/inc-42-room.md).
 func TestNoTaskWaitsBesideRoomInSmallWorlds(t *testing.T) {
 	worlds := uint64(ciWaitingWorlds)
