--- a/internal/coordination/delegation_fences_test.go
+++ b/internal/coordination/delegation_fences_test.go
@@ -196,11 +196,11 @@
 		applyRecord(t, n, storage.DelegationKey(id), storage.Delegation{Session: 5, FencingToken: 1, Machines: rest[:count]}, revision)
 		rest, revision = rest[count:], revision+1
 	}
-	turns := 0
-	for acknowledged := 0; acknowledged < machines; turns++ {
+	iterations := 0
+	for acknowledged := 0; acknowledged < machines; iterations++ {
 		txns := n.acknowledgementTxns()
-		if len(txns) == 0 || turns > records {
-			t.Fatalf("%d of %d machines acknowledged after %d iterations", acknowledged, machines, turns)
+		if len(txns) == 0 || iterations > records {
+			t.Fatalf("%d of %d machines acknowledged after %d iterations", acknowledged, machines, iterations)
 		}
 		for _, txn := range txns {
 			for _, write := range txn.Writes {
@@ -217,5 +217,5 @@
 			acknowledged += len(ack.Value.Machines)
 		}
 	}
-	t.Logf("%d records, %d iterations", records, turns)
+	t.Logf("%d records, %d iterations", records, iterations)
 }
--- a/internal/coordination/fault_pairs_test.go
+++ b/internal/coordination/fault_pairs_test.go
@@ -74,11 +74,11 @@
 func TestFaultPairs(t *testing.T) {
 	list := faultPairs()
 	if !*all {
-		var some []faultPair
+		var sampled []faultPair
 		for i := 0; i < len(list); i += ciPairStep {
-			some = append(some, list[i])
+			sampled = append(sampled, list[i])
 		}
-		list = some
+		list = sampled
 	}
 	for _, k := range allFaultKinds {
 		if !slices.ContainsFunc(list, func(p faultPair) bool { return p.a == k || p.b == k }) {
--- a/internal/coordination/guards_test.go
+++ b/internal/coordination/guards_test.go
@@ -358,8 +358,8 @@
 	s.receiveHeartbeat(m, &protocol.Heartbeat{Machine: "a", Address: "a:1", Session: 1, Sequence: 1, FencingToken: 2}, now)
 	s.buildCommands(m, now)
 	r := s.place(j, j.takePendingTask(), m)
-	e, some := m.directTarget(now)
-	if !some || e.Commands != 1 {
+	e, hasMessage := m.directTarget(now)
+	if !hasMessage || e.Commands != 1 {
 		t.Fatalf("nothing to send: %+v", e)
 	}
 	f := directTarget{s, m}.buildMessage(now)
--- a/internal/coordination/heartbeat_relay_test.go
+++ b/internal/coordination/heartbeat_relay_test.go
@@ -245,21 +245,21 @@
 
 // Guards against statuses that former versions can't decode, or that are decoded as
 // heartbeats.
-func TestPeerMessageIsStatusOfFormerVersion(t *testing.T) {
+func TestPeerMessageIsStatusOfPreviousVersion(t *testing.T) {
 	status := Status{From: "n1", Session: 5, Cordoned: []string{"a"}}
 	encoding, _ := cbor.EncOptions{Sort: cbor.SortCanonical}.EncMode()
-	former, _ := encoding.Marshal(status)
-	if written, _ := encoding.Marshal(PeerMessage{Status: status}); !bytes.Equal(written, former) {
-		t.Errorf("written as %x, not %x", written, former)
+	previousEncoding, _ := encoding.Marshal(status)
+	if written, _ := encoding.Marshal(PeerMessage{Status: status}); !bytes.Equal(written, previousEncoding) {
+		t.Errorf("written as %x, not %x", written, previousEncoding)
 	}
 	var message PeerMessage
-	if err := cbor.Unmarshal(former, &message); err != nil || message.Heartbeat != nil || message.From != status.From || message.Session != status.Session {
+	if err := cbor.Unmarshal(previousEncoding, &message); err != nil || message.Heartbeat != nil || message.From != status.From || message.Session != status.Session {
 		t.Errorf("%+v, %v", message, err)
 	}
 	reply := StatusReply{From: "n0", IsLeader: true}
-	former, _ = encoding.Marshal(reply)
-	if written, _ := encoding.Marshal(PeerReply{StatusReply: reply}); !bytes.Equal(written, former) {
-		t.Errorf("reply written as %x, not %x", written, former)
+	previousEncoding, _ = encoding.Marshal(reply)
+	if written, _ := encoding.Marshal(PeerReply{StatusReply: reply}); !bytes.Equal(written, previousEncoding) {
+		t.Errorf("reply written as %x, not %x", written, previousEncoding)
 	}
 }
 
--- a/internal/coordination/schema_test.go
+++ b/internal/coordination/schema_test.go
@@ -101,12 +101,12 @@
 		t.Errorf("after %d steps and %d chunks\n%+v\nis not\n%+v", steps, len(n.records.GrantChunks[0]), after, before)
 	}
 	head, _ := json.Marshal(after)
-	var asFormerVersion struct {
+	var asPreviousVersion struct {
 		Blocks struct {
 			Names []string `json:"names"`
 		} `json:"blocks"`
 	}
-	if json.Unmarshal(head, &asFormerVersion) == nil {
+	if json.Unmarshal(head, &asPreviousVersion) == nil {
 		t.Error("the previous version would decode the grant as one without machines")
 	}
 	// A chunk that can't be decoded leaves the shard unchanged.
