--- a/internal/coordination/heartbeat_relay_test.go
+++ b/internal/coordination/heartbeat_relay_test.go
@@ -243,7 +243,7 @@
 	}
 }
 
-// Guards against statuses that former versions can't decode, or that are decoded as
+// Guards against statuses that previous versions can't decode, or that are decoded as
 // heartbeats.
 func TestPeerMessageIsStatusOfPreviousVersion(t *testing.T) {
 	status := Status{From: "n1", Session: 5, Cordoned: []string{"a"}}
--- a/internal/coordination/lost_answers_test.go
+++ b/internal/coordination/lost_answers_test.go
@@ -11,15 +11,15 @@
 )
 
 // A worker waits 4 s for an answer that is lost. This lease allows for that many such
-// waits after the longest heartbeat interval, but not for a detour back to the holder after
-// each of them.
+// waits after the longest heartbeat interval, but not for a redirect by another controller
+// back to the holder after each of them.
 const (
 	lostRenewals      = 5
 	lostRenewalsLease = 24.5 // seconds
 )
 
 // Guards against workers whose lease expires because, after lost answers, they use up their
-// remaining attempts on the detour back to the holder.
+// remaining attempts on redirects back to the holder.
 func TestLostAnswersInARowEndNoLease(t *testing.T) {
 	for seed := uint64(1); seed <= 3; seed++ {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
--- a/internal/coordination/model_check_test.go
+++ b/internal/coordination/model_check_test.go
@@ -77,10 +77,10 @@
 
 const (
 	faultNone                holderFault = ""
-	faultSkipsReconciliation holderFault = "trusting"      // counts machines as reconciled right after a failover
-	faultReleasesNonEmpty    holderFault = "hasty release" // releases a machine that is not empty
-	faultProxyDuringStart    holderFault = "hasty proxy"   // lets a proxy answer while a start is in flight
-	faultEarlyExpiry         holderFault = "impatient"     // considers tasks lost before the worker's lease has expired
+	faultSkipsReconciliation holderFault = "reconciliation skipped"     // counts machines as reconciled right after a failover
+	faultReleasesNonEmpty    holderFault = "non-empty machine released" // releases a machine that is not empty
+	faultProxyDuringStart    holderFault = "proxy during start"         // lets a proxy answer while a start is in flight
+	faultEarlyExpiry         holderFault = "early expiry"               // considers tasks lost before the worker's lease has expired
 )
 
 // explorer is one state of holders, workers and network.
--- a/internal/coordination/sim_store_link_test.go
+++ b/internal/coordination/sim_store_link_test.go
@@ -26,8 +26,8 @@
 	refusing    bool // the store refuses this controller alone
 	failureRate float64
 	// lateRate is the share of transactions that get no answer and are committed seconds
-	// later, after newer ones; lostRate is the share that are committed at once and only
-	// lose their answer. pauseLeft delays every request and answer while the process is
+	// later, after newer ones; lostRate is the share that are committed at once and of
+	// which only the answer is lost. pauseLeft delays every request and answer while the process is
 	// paused, and latency every request while the store is slow.
 	lateRate          float64
 	lostRate          float64
--- a/internal/coordination/sim_trace_test.go
+++ b/internal/coordination/sim_trace_test.go
@@ -47,8 +47,8 @@
 }
 
 // minExplainingLosses is the number of exchanges lost by the simulated network that alone
-// explain an expired lease: each costs the worker 4 s of waiting and a detour over a
-// controller that redirects it.
+// explain an expired lease: each costs the worker 4 s of waiting and a heartbeat to a
+// controller that only redirects it.
 const minExplainingLosses = 3
 
 // isExplainedByLosses reports whether a worker, since a given time, lost at least
