--- a/internal/coordination/delegation_delay_order_test.go
+++ b/internal/coordination/delegation_delay_order_test.go
@@ -169,7 +169,7 @@
 	hasLateCommit := slices.ContainsFunc(o.lateCommits, func(at time.Duration) bool { return at > o.executedAfter })
 	maxPrecedingWrites := slices.Max(append(slices.Collect(maps.Values(o.precedingWrites)), 0))
 	return len(o.machines) > 0 && (len(o.unanswered) == 0 || hasLateCommit) &&
-		maxPrecedingWrites >= min(len(o.competingWrites), 2) && (o.deniedController == "" || o.redirectsByMuted > 0)
+		maxPrecedingWrites >= min(len(o.competingWrites), 2) && (o.deniedController == "" || o.redirectsByDenied > 0)
 }
 
 // recordLeftoverRecords records which delegations and acknowledgements exist after all
--- a/internal/coordination/sim_delegation_order_test.go
+++ b/internal/coordination/sim_delegation_order_test.go
@@ -79,7 +79,7 @@
 	sent             map[string]bool   // kinds of writes that each controller has sent since the partition
 	forced           map[writeKind]int // the highest unanswered attempt of each kind
 	lateCommits      []time.Duration   // when late writes were committed, since the partition
-	redirectsByMuted int               // heartbeats redirected by the muted controller while another could answer
+	redirectsByDenied int               // heartbeats redirected by the muted controller while another could answer
 	precedingWrites  map[string]int    // unanswered other writes of each controller
 	log              []string
 	leftoverRecords  []string // delegations and acknowledgements that were not removed
@@ -202,7 +202,7 @@
 		o.mu.Unlock()
 		time.Sleep(10 * time.Millisecond)
 	}
-	o.countDetours()
+	o.countRedirects()
 }
 
 // findMachines finds the machines that run a task and whose holder is in the other zone.
@@ -256,9 +256,9 @@
 	}
 }
 
-// countDetours counts, once a proxy could answer a worker, the redirects by the muted
+// countRedirects counts, once a proxy could answer a worker, the redirects by the muted
 // controller, and those that led to the unreachable holder.
-func (o *delayCaseRun) countDetours() {
+func (o *delayCaseRun) countRedirects() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.w.mu.Lock()
@@ -271,7 +271,7 @@
 			if !found || h.to != o.deniedController || h.status != http.StatusMisdirectedRequest || h.sentAt.Before(from) {
 				continue
 			}
-			o.redirectsByMuted++
+			o.redirectsByDenied++
 			if i+1 < len(heartbeats) && heartbeats[i+1].outcome == heartbeatCutOff {
 				m.holderRedirects++
 			}
