--- a/internal/coordination/sim_delegation_order_test.go
+++ b/internal/coordination/sim_delegation_order_test.go
@@ -79,7 +79,7 @@
 	sent             map[string]bool   // kinds of writes that each controller has sent since the partition
 	forced           map[writeKind]int // the highest unanswered attempt of each kind
 	lateCommits      []time.Duration   // when late writes were committed, since the partition
-	redirectsByDenied int               // heartbeats redirected by the muted controller while another could answer
+	redirectsByDenied int               // heartbeats redirected by deniedController while another could answer
 	precedingWrites  map[string]int    // unanswered other writes of each controller
 	log              []string
 	leftoverRecords  []string // delegations and acknowledgements that were not removed
@@ -256,8 +256,8 @@
 	}
 }
 
-// countRedirects counts, once a proxy could answer a worker, the redirects by the muted
-// controller, and those that led to the unreachable holder.
+// countRedirects counts, once a proxy could answer a worker, the redirects by
+// deniedController, and those of them that led to the unreachable holder.
 func (o *delayCaseRun) countRedirects() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
