--- a/internal/coordination/sim_delegation_order_test.go
+++ b/internal/coordination/sim_delegation_order_test.go
@@ -72,17 +72,17 @@
 // machines.
 type delayCaseRun struct {
 	*delayCase
-	w                *world
-	mu               sync.Mutex // guards all below; acquired before the locks of the world and the nodes
-	machines         []*partitionedMachine
-	attempts         map[string]int
-	sent             map[string]bool   // kinds of writes that each controller has sent since the partition
-	forced           map[writeKind]int // the highest unanswered attempt of each kind
-	lateCommits      []time.Duration   // when late writes were committed, since the partition
+	w                 *world
+	mu                sync.Mutex // guards all below; acquired before the locks of the world and the nodes
+	machines          []*partitionedMachine
+	attempts          map[string]int
+	sent              map[string]bool   // kinds of writes that each controller has sent since the partition
+	forced            map[writeKind]int // the highest unanswered attempt of each kind
+	lateCommits       []time.Duration   // when late writes were committed, since the partition
 	redirectsByDenied int               // heartbeats redirected by deniedController while another could answer
-	precedingWrites  map[string]int    // unanswered other writes of each controller
-	log              []string
-	leftoverRecords  []string // delegations and acknowledgements that were not removed
+	precedingWrites   map[string]int    // unanswered other writes of each controller
+	log               []string
+	leftoverRecords   []string // delegations and acknowledgements that were not removed
 }
 
 // sinceCut returns the time since the last partition began.
