--- a/internal/coordination/heartbeat_relay_test.go
+++ b/internal/coordination/heartbeat_relay_test.go
@@ -91,14 +91,14 @@
 	return &protocol.Heartbeat{Machine: "a", Address: "a:1", MachineType: "small", Zone: "a", Session: 1, Sequence: sequence, FencingToken: 2}
 }
 
-// pass advances the clock; reaches tells whether the relay can reach the holder
-// afterwards.
-func (p *relayPair) pass(duration time.Duration, reaches bool) {
+// advanceClock advances the clock; holderReachable specifies whether the relay
+// reaches the holder at the new time.
+func (p *relayPair) advanceClock(duration time.Duration, holderReachable bool) {
 	p.now = p.now.Add(duration)
 	for _, n := range []*Node{p.holder, p.relay} {
 		n.records.SyncedAt = p.now
 	}
-	if reaches {
+	if holderReachable {
 		p.relay.heartbeatProxy.lastReached["n0"] = p.now
 	}
 }
@@ -121,11 +121,11 @@
 		t.Fatalf("not the holder's answer: %+v", answer)
 	}
 	if heartbeat, _ := p.machine.exchange.Sequences(); heartbeat != 2 || !p.machine.lastAnswered.Equal(p.now) {
-		t.Error("the holder does not count the heartbeat as its own")
+		t.Error("the holder does not record the relayed heartbeat as received")
 	}
-	p.pass(3*time.Second, true)
+	p.advanceClock(3*time.Second, true)
 	checkRedirect(t, "the next heartbeat", p.relay.Heartbeat(p.heartbeat(3)))
-	p.pass(4*time.Second, true)
+	p.advanceClock(4*time.Second, true)
 	if answer := p.relay.Heartbeat(p.heartbeat(4)); answer.Status != http.StatusOK {
 		t.Errorf("not relayed after the interval: %+v", answer)
 	}
@@ -138,7 +138,7 @@
 	p.peer.err = errors.New("link is busy")
 	checkRedirect(t, "the call fails", p.relay.Heartbeat(p.heartbeat(2)))
 	p = newRelayPair(t, storage.SchemaHeartbeatRelays)
-	p.pass(unreachableAfter, false)
+	p.advanceClock(unreachableAfter, false)
 	checkRedirect(t, "the holder is unreachable", p.relay.Heartbeat(p.heartbeat(2)))
 	if p.peer.calls != 0 {
 		t.Error("an unreachable holder is called")
@@ -176,7 +176,7 @@
 	p := newRelayPair(t, storage.SchemaHeartbeatRelays)
 	p.holder.session.leaseValidUntil = p.now
 	if answer := p.relay.Heartbeat(p.heartbeat(2)); answer.Status != http.StatusServiceUnavailable {
-		t.Errorf("the holder's lease has passed: %+v", answer)
+		t.Errorf("the holder's lease has expired: %+v", answer)
 	}
 	p = newRelayPair(t, storage.SchemaHeartbeatRelays)
 	delete(p.holder.shards, 0)
@@ -212,10 +212,10 @@
 	slog.SetDefault(slog.New(slog.NewTextHandler(&log, nil)))
 	defer slog.SetDefault(previous)
 	p := newRelayPair(t, storage.SchemaHeartbeatRelays)
-	past := &session.History{}
-	past.Observe(3)
-	past.Observe(5)
-	p.holder.session.histories["n1"] = past
+	sessionHistory := &session.History{}
+	sessionHistory.Observe(3)
+	sessionHistory.Observe(5)
+	p.holder.session.histories["n1"] = sessionHistory
 	valid := RelayedHeartbeat{From: "n1", Session: 5, Hops: relayHopCount, Report: *p.heartbeat(2)}
 	for reason, change := range map[string]func(*RelayedHeartbeat){
 		"unknown controller": func(r *RelayedHeartbeat) { r.From = "n7" },
@@ -236,30 +236,30 @@
 		}
 	}
 	if heartbeat, _ := p.machine.exchange.Sequences(); heartbeat != 1 {
-		t.Error("a refused heartbeat changes what the holder knows")
+		t.Error("a refused heartbeat changes the holder's state")
 	}
 	if answer := p.holder.receiveRelayedHeartbeat(&valid); answer.Status != http.StatusOK {
-		t.Errorf("a valid one: %+v", answer)
+		t.Errorf("the valid heartbeat: %+v", answer)
 	}
 }
 
-// Guards against statuses that former versions can't decode, or that are decoded as
+// Guards against statuses that previous versions can't decode, or that are decoded as
 // heartbeats.
-func TestPeerMessageIsStatusOfFormerVersion(t *testing.T) {
+func TestPeerMessageIsStatusOfPreviousVersion(t *testing.T) {
 	status := Status{From: "n1", Session: 5, Cordoned: []string{"a"}}
 	encoding, _ := cbor.EncOptions{Sort: cbor.SortCanonical}.EncMode()
-	former, _ := encoding.Marshal(status)
-	if written, _ := encoding.Marshal(PeerMessage{Status: status}); !bytes.Equal(written, former) {
-		t.Errorf("written as %x, not %x", written, former)
+	previousEncoding, _ := encoding.Marshal(status)
+	if written, _ := encoding.Marshal(PeerMessage{Status: status}); !bytes.Equal(written, previousEncoding) {
+		t.Errorf("written as %x, not %x", written, previousEncoding)
 	}
 	var message PeerMessage
-	if err := cbor.Unmarshal(former, &message); err != nil || message.Heartbeat != nil || message.From != status.From || message.Session != status.Session {
+	if err := cbor.Unmarshal(previousEncoding, &message); err != nil || message.Heartbeat != nil || message.From != status.From || message.Session != status.Session {
 		t.Errorf("%+v, %v", message, err)
 	}
 	reply := StatusReply{From: "n0", IsLeader: true}
-	former, _ = encoding.Marshal(reply)
-	if written, _ := encoding.Marshal(PeerReply{StatusReply: reply}); !bytes.Equal(written, former) {
-		t.Errorf("reply written as %x, not %x", written, former)
+	previousEncoding, _ = encoding.Marshal(reply)
+	if written, _ := encoding.Marshal(PeerReply{StatusReply: reply}); !bytes.Equal(written, previousEncoding) {
+		t.Errorf("reply written as %x, not %x", written, previousEncoding)
 	}
 }
 
@@ -274,9 +274,9 @@
 		}
 	}
 	if relay.begin("another", interval, now) {
-		t.Error("more machines than the bound")
+		t.Error("more machines are relayed than the bound allows")
 	}
 	if !relay.begin("another", interval, now.Add(interval+1)) || len(relay.relayedAt) != 1 {
-		t.Errorf("%d machines are remembered after the interval", len(relay.relayedAt))
+		t.Errorf("%d machines are recorded after the interval, want 1", len(relay.relayedAt))
 	}
 }
--- a/internal/coordination/sim_delegation_order_test.go
+++ b/internal/coordination/sim_delegation_order_test.go
@@ -72,17 +72,17 @@
 // machines.
 type delayCaseRun struct {
 	*delayCase
-	w                *world
-	mu               sync.Mutex // guards all below; acquired before the locks of the world and the nodes
-	machines         []*partitionedMachine
-	attempts         map[string]int
-	sent             map[string]bool   // kinds of writes that each controller has sent since the partition
-	forced           map[writeKind]int // the highest unanswered attempt of each kind
-	lateCommits      []time.Duration   // when late writes were committed, since the partition
-	redirectsByMuted int               // heartbeats redirected by the muted controller while another could answer
-	precedingWrites  map[string]int    // unanswered other writes of each controller
-	log              []string
-	leftoverRecords  []string // delegations and acknowledgements that were not removed
+	w                 *world
+	mu                sync.Mutex // guards all below; acquired before the locks of the world and the nodes
+	machines          []*partitionedMachine
+	attempts          map[string]int
+	sent              map[string]bool   // kinds of writes that each controller has sent since the partition
+	forced            map[writeKind]int // the highest unanswered attempt of each kind
+	lateCommits       []time.Duration   // when late writes were committed, since the partition
+	redirectsByDenied int               // heartbeats redirected by deniedController while another could answer
+	precedingWrites   map[string]int    // unanswered other writes of each controller
+	log               []string
+	leftoverRecords   []string // delegations and acknowledgements that were not removed
 }
 
 // sinceCut returns the time since the last partition began.
@@ -107,15 +107,15 @@
 	o.attempts[write]++
 	attempt := o.attempts[write]
 	o.recordSent(sender, kind, txn)
-	isOther := slices.Contains(o.competingWrites, kind) && !o.sent[sender+string(kind)]
-	if isOther && o.isHeld(sender, kind) || kind == delegationWrite && o.deniedController == sender {
+	isCompeting := slices.Contains(o.competingWrites, kind) && !o.sent[sender+string(kind)]
+	if isCompeting && o.isHeld(sender, kind) || kind == delegationWrite && o.deniedController == sender {
 		return forcedOutcome{refused: true}
 	}
 	outcome := forcedOutcome{}
-	if attempt <= o.unanswered[kind] || isOther && o.isDue(sender) {
+	if attempt <= o.unanswered[kind] || isCompeting && o.isCompetingWriteDue(sender) {
 		outcome.late = lateWriteDelay
 		o.forced[kind] = max(o.forced[kind], attempt)
-		if isOther {
+		if isCompeting {
 			o.sent[sender+string(kind)] = true
 			o.precedingWrites[sender]++
 		}
@@ -144,9 +144,9 @@
 	return o.concerns(sender) && since < competingWriteDelay
 }
 
-// isDue reports whether another kind of write may now precede a delegation or an
-// acknowledgement, starting within the last second before these are due.
-func (o *delayCaseRun) isDue(sender string) bool {
+// isCompetingWriteDue reports whether another kind of write may now precede a delegation
+// or an acknowledgement, starting within the last second before these are due.
+func (o *delayCaseRun) isCompetingWriteDue(sender string) bool {
 	return o.concerns(sender) && o.sinceCut() >= competingWriteDelay && o.sinceCut() < maxProxyDelay
 }
 
@@ -202,7 +202,7 @@
 		o.mu.Unlock()
 		time.Sleep(10 * time.Millisecond)
 	}
-	o.countDetours()
+	o.countRedirects()
 }
 
 // findMachines finds the machines that run a task and whose holder is in the other zone.
@@ -256,9 +256,9 @@
 	}
 }
 
-// countDetours counts, once a proxy could answer a worker, the redirects by the muted
-// controller, and those that led to the unreachable holder.
-func (o *delayCaseRun) countDetours() {
+// countRedirects counts, once a proxy could answer a worker, the redirects by
+// deniedController, and those of them that led to the unreachable holder.
+func (o *delayCaseRun) countRedirects() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.w.mu.Lock()
@@ -271,7 +271,7 @@
 			if !found || h.to != o.deniedController || h.status != http.StatusMisdirectedRequest || h.sentAt.Before(from) {
 				continue
 			}
-			o.redirectsByMuted++
+			o.redirectsByDenied++
 			if i+1 < len(heartbeats) && heartbeats[i+1].outcome == heartbeatCutOff {
 				m.holderRedirects++
 			}
